--- a/src/gateway/call_context.rs
+++ b/src/gateway/call_context.rs
@@ -1,5 +1,5 @@
 use super::gateway_host::GatewayHost;
-use super::limit_desk::LimitCharge;
+use super::limit_charge::LimitCharge;
 use crate::keys::{RequestKey, TimePoint};
 use crate::platform::{CallHead, ServerCall};
 use crate::routes::{Route, ServiceKey, ServiceSpec};
@@ -35,7 +35,7 @@
 
 impl CallContext {
     /// Time left until the final answer is due.
-    pub fn left(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         self.ends_at.since(self.host.now())
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// It is sent to a server right now.
-    pub fn note_sent(&self, now: TimePoint) {
+    pub fn record_sent(&self, now: TimePoint) {
         self.sent_at.store(now.0, Ordering::Relaxed);
     }
 
--- a/src/gateway/call_end.rs
+++ b/src/gateway/call_end.rs
@@ -16,7 +16,7 @@
     /// Reading its prompt failed.
     PromptNotRead,
     /// The server that was to run it turned it away.
-    TurnedAway,
+    Rejected,
     /// Its time ran out before it was sent.
     OutOfTime,
     /// Whether its caller's key is still good cannot be told.
@@ -38,7 +38,7 @@
             Self::NoMemory => "no_memory",
             Self::NoServer => "no_server",
             Self::PromptNotRead => "prompt_not_read",
-            Self::TurnedAway => "turned_away",
+            Self::Rejected => "turned_away",
             Self::OutOfTime => "out_of_time",
             Self::ConfigTooOld => "config_too_old",
             Self::RouteUnknown => "route_unknown",
--- a/src/gateway/call_route.rs
+++ b/src/gateway/call_route.rs
@@ -1,13 +1,13 @@
 use super::call_context::CallContext;
 use super::call_end::{CallEnd, NotRunReason};
 use super::call_log::log_end;
+use super::caller_auth::authorize_caller;
 use super::caller_body::CallerAnswer;
-use super::caller_gate::let_in;
 use super::crash_watch::RequestAdmission;
 use super::engine_call::serve_engine;
 use super::flight_guard::FlightGuard;
 use super::gateway_host::{GatewayHost, StopPhase};
-use super::limit_desk::{LimitCharge, charge};
+use super::limit_charge::{LimitCharge, charge};
 use super::plain_call::serve_plain;
 use super::run_open::refuse;
 use crate::keys::{RequestContents, RequestKey};
@@ -78,7 +78,7 @@
     let Some(route) = route else {
         return Err(no_route(host));
     };
-    let organisation = let_in(host, &route, head.caller_key).await?;
+    let organisation = authorize_caller(host, &route, head.caller_key).await?;
     let body = read_body(body, routes.limits().body_bytes).await?;
     let service = route.service_for(&head.request_id);
     let Some(spec) = routes.service(service).cloned() else {
--- a/src/gateway/caller_gate.rs
+++ b/src/gateway/caller_auth.rs
@@ -14,7 +14,7 @@
 const AGE_WAIT: Duration = Duration::from_millis(150);
 
 /// The organisation on whose account a request runs, if any.
-pub(super) async fn let_in(
+pub(super) async fn authorize_caller(
     host: &GatewayHost,
     route: &Route,
     digest: Option<KeyDigest>,
--- a/src/gateway/crash_watch.rs
+++ b/src/gateway/crash_watch.rs
@@ -47,7 +47,7 @@
     /// before each send: a request under way learns of what it did elsewhere, and waits until that is settled.
     pub async fn is_held_back(&self, sent: u32) -> bool {
         let is_allowed = self.is_trial && sent == 0;
-        !is_allowed && self.host.settled_hold(self.id(), self.contents, self.left()).await
+        !is_allowed && self.host.settled_hold(self.id(), self.contents, self.time_left()).await
     }
 
     /// The same by what is settled already, where a wait would cost what servers keep for it, or delay its final answer.
--- a/src/gateway/decode_room.rs
+++ b/src/gateway/decode_reservation.rs
@@ -2,7 +2,7 @@
 
 use super::call_context::CallContext;
 use super::call_end::NotRunReason;
-use super::engine_hold::{EngineKeep, take_hold};
+use super::engine_resource::{EngineResource, acquire_hold};
 use super::load_guard::LoadGuard;
 use super::send_permit::SendPermit;
 use super::server_ranking::ServerWish;
@@ -13,8 +13,8 @@
 use crate::routes::EngineSpec;
 /// Memory held for a request at a decode server, and its place on the load board.
 #[derive(Debug)]
-pub(super) struct DecodeRoom {
-    pub keep: EngineKeep,
+pub(super) struct DecodeReservation {
+    pub keep: EngineResource,
     pub load: LoadGuard,
     /// The run may be sent there.
     pub permit: SendPermit,
@@ -45,12 +45,12 @@
 }
 
 /// Holds memory at the best decode server that has some, but not where a run was lost.
-pub(super) async fn find_room(
+pub(super) async fn reserve_memory(
     context: &CallContext,
     engine: &EngineSpec,
     after: Option<u64>,
     lost: &[ServerKey],
-) -> Result<DecodeRoom, NotRunReason> {
+) -> Result<DecodeReservation, NotRunReason> {
     let tokens = needed_tokens(context, engine, after);
     let near = context.host.domain();
     let mut search = RoomSearch::new(context.host.now(), near);
@@ -78,7 +78,9 @@
                 let Some(permit) = context.permit(server).await else {
                     continue;
                 };
-                if let Some(room) = ask_room(context, engine, server, tokens, permit).await {
+                if let Some(room) =
+                    request_reservation(context, engine, server, tokens, permit).await
+                {
                     return Ok(room);
                 }
                 search.note_refused(server.domain);
@@ -121,21 +123,21 @@
     );
 }
 
-async fn ask_room(
+async fn request_reservation(
     context: &CallContext,
     engine: &EngineSpec,
     server: &ServerEntry,
     tokens: u32,
     permit: SendPermit,
-) -> Option<DecodeRoom> {
+) -> Option<DecodeReservation> {
     let load = decode_load(context, server);
     context.host.note_server(server, ServerNote::Sent);
-    let held = take_hold(&context.host, server, tokens, engine.longest_hold).await;
+    let held = acquire_hold(&context.host, server, tokens, engine.longest_hold).await;
     if held.is_ok() {
         context.host.note_server(server, ServerNote::Answered);
     }
     match held {
-        Ok(Some(keep)) => Some(DecodeRoom { keep, load, permit }),
+        Ok(Some(keep)) => Some(DecodeReservation { keep, load, permit }),
         Ok(None) => None,
         Err(error) => {
             context.host.note_server(server, ServerNote::Silent);
--- a/src/gateway/engine_hold.rs
+++ b/src/gateway/engine_resource.rs
@@ -17,7 +17,7 @@
 
 /// What is kept at an engine for this host.
 #[derive(Debug)]
-enum KeptThing {
+enum ResourceKind {
     /// A slot and memory.
     Hold(String),
     /// The result of a prefill.
@@ -26,24 +26,24 @@
 
 /// Something kept at an engine, given back when it is dropped unused.
 #[derive(Debug)]
-pub(super) struct EngineKeep {
+pub(super) struct EngineResource {
     host: Arc<GatewayHost>,
     /// Where it is kept.
     pub server: ServerEntry,
-    thing: Option<KeptThing>,
+    thing: Option<ResourceKind>,
 }
 
-impl EngineKeep {
+impl EngineResource {
     /// Takes over the result of a prefill.
     pub fn handle(host: &Arc<GatewayHost>, server: ServerEntry, result: PrefillResult) -> Self {
-        let thing = Some(KeptThing::Handle(result.handle));
+        let thing = Some(ResourceKind::Handle(result.handle));
         Self { host: Arc::clone(host), server, thing }
     }
 
     /// Its name at the engine.
     pub fn name(&self) -> Option<&str> {
         match &self.thing {
-            Some(KeptThing::Hold(name) | KeptThing::Handle(name)) => Some(name),
+            Some(ResourceKind::Hold(name) | ResourceKind::Handle(name)) => Some(name),
             None => None,
         }
     }
@@ -54,7 +54,7 @@
     }
 }
 
-impl Drop for EngineKeep {
+impl Drop for EngineResource {
     fn drop(&mut self) {
         let Some(thing) = self.thing.take() else {
             return;
@@ -64,8 +64,8 @@
             return;
         }
         let call = match thing {
-            KeptThing::Hold(name) => hold_drop_call(&self.server, &name),
-            KeptThing::Handle(name) => {
+            ResourceKind::Hold(name) => hold_drop_call(&self.server, &name),
+            ResourceKind::Handle(name) => {
                 log::info!("event=prompt_wasted server={} handle={name}", self.server.id);
                 self.host.metrics().add("prompts_wasted", 1);
                 handle_drop_call(&self.server, &name)
@@ -83,12 +83,12 @@
 }
 
 /// Asks an engine for a slot and memory; `None` if it has none.
-pub(super) async fn take_hold(
+pub(super) async fn acquire_hold(
     host: &Arc<GatewayHost>,
     server: &ServerEntry,
     tokens: u32,
     life: Duration,
-) -> Result<Option<EngineKeep>> {
+) -> Result<Option<EngineResource>> {
     let call = hold_call(server, tokens, life);
     let purpose = CallPurpose::Control;
     let read = |status, body: &Bytes| read_grant(host, server, status, body);
@@ -96,8 +96,8 @@
     let Some(grant) = grant else {
         return Ok(None);
     };
-    let thing = Some(KeptThing::Hold(grant.hold));
-    Ok(Some(EngineKeep { host: Arc::clone(host), server: server.clone(), thing }))
+    let thing = Some(ResourceKind::Hold(grant.hold));
+    Ok(Some(EngineResource { host: Arc::clone(host), server: server.clone(), thing }))
 }
 
 /// Reads the answer to a hold. A grant that was made before is a late copy of that answer.
--- a/src/gateway/event_relay.rs
+++ b/src/gateway/event_relay.rs
@@ -1,9 +1,9 @@
 use super::call_context::CallContext;
 use super::call_end::{CallEnd, NotRunReason};
 use super::caller_body::StreamPart;
-use super::decode_room::expected_output;
+use super::decode_reservation::expected_output;
 use super::flight_guard::FlightGuard;
-use super::run_open::{OpenRun, may_run_again, open_stream};
+use super::run_open::{OpenRun, may_retry_run, open_stream};
 use super::run_start::RunRecord;
 use crate::Result;
 use crate::keys::TimePoint;
@@ -122,7 +122,7 @@
                 runs.note_lost(server.key());
             }
         }
-        if !may_run_again(context, &runs).await {
+        if !may_retry_run(context, &runs).await {
             return StreamEnd::Broken;
         }
         let (id, after) = (context.id(), record.last.unwrap_or_default());
@@ -160,7 +160,7 @@
             Err(CallEnd::NotRun(reason, _)) if reason != NotRunReason::HeldBack
         );
         let waited = context.host.now().since(began);
-        if !refused || waited > RESUME_LIMIT || context.left().is_zero() {
+        if !refused || waited > RESUME_LIMIT || context.time_left().is_zero() {
             return opened;
         }
         tokio::time::sleep(RESUME_PAUSE).await;
--- a/src/gateway/gateway_host.rs
+++ b/src/gateway/gateway_host.rs
@@ -240,7 +240,7 @@
         }
         state.routes = Arc::new(table);
         state.routes_revision = revision;
-        state.cut_limits(self.now());
+        state.lower_limits(self.now());
         drop(state);
         let source = source.name();
         log::info!(
--- a/src/gateway/gateway_start.rs
+++ b/src/gateway/gateway_start.rs
@@ -4,8 +4,8 @@
 use super::crash_store::run_crash_store;
 use super::gateway_host::{GatewayHost, StopPhase};
 use super::host_account::run_account;
-use super::limit_desk::run_limits;
-use super::limit_news::run_limit_news;
+use super::limit_charge::run_limit_charges;
+use super::limit_gossip::run_limit_gossip;
 use super::peer_loop::run_peers;
 use super::ready_server::{QuestionKind, serve_questions};
 use super::stage_loop::run_stages;
@@ -64,9 +64,9 @@
     tokio::spawn(run_view(Arc::clone(&host)));
     tokio::spawn(run_stages(Arc::clone(&host)));
     tokio::spawn(run_ages(Arc::clone(&host)));
-    tokio::spawn(run_limits(Arc::clone(&host)));
+    tokio::spawn(run_limit_charges(Arc::clone(&host)));
     tokio::spawn(run_crash_news(Arc::clone(&host)));
-    tokio::spawn(run_limit_news(Arc::clone(&host)));
+    tokio::spawn(run_limit_gossip(Arc::clone(&host)));
     tokio::spawn(run_crash_store(Arc::clone(&host)));
     tokio::spawn(run_account(Arc::clone(&host)));
     log::info!(
--- a/src/gateway/limit_hearing.rs
+++ b/src/gateway/limit_answers.rs
@@ -10,7 +10,7 @@
 
 impl GatewayHost {
     /// A server answered a request that was sent at `sent_at`; the answer is known to be to that request.
-    pub(super) fn hear_limit(
+    pub(super) fn apply_named_limit(
         &self,
         server: &ServerEntry,
         sent_at: TimePoint,
@@ -28,16 +28,16 @@
         let (now, key) = (self.now(), server.key());
         let (change, told) = self.state().sends.hear_answer(now, sent_at, key, limit);
         if let Some(change) = change {
-            self.spread_limit_change(&change, "answer");
+            self.announce_limit_change(&change, "answer");
         }
         if let Some(answered) = told {
-            self.tell_answered(&answered);
+            self.send_limit_answered(&answered);
         }
     }
 
-    fn tell_answered(&self, answered: &LimitAnswered) {
+    fn send_limit_answered(&self, answered: &LimitAnswered) {
         match self.send_owner(answered.news.server) {
-            OwnerChoice::Own => self.hear_answered(answered),
+            OwnerChoice::Own => self.receive_limit_answered(answered),
             OwnerChoice::Other(owner) => {
                 self.send(owner.address, &GatewayDatagram::LimitAnswered(*answered));
             }
@@ -47,11 +47,11 @@
     }
 
     /// A server that has a limit answered this host or another one, which takes this one for its owner.
-    pub(super) fn hear_answered(&self, answered: &LimitAnswered) {
+    pub(super) fn receive_limit_answered(&self, answered: &LimitAnswered) {
         let now = self.now();
         let changes = self.state().sends.hear_answered(now, answered);
         for change in changes {
-            self.spread_limit_change(&change, "owner");
+            self.announce_limit_change(&change, "owner");
         }
     }
 }
--- a/src/gateway/limit_desk.rs
+++ b/src/gateway/limit_charge.rs
@@ -94,7 +94,7 @@
             let Some(share) = state.whole_share(charge.org) else {
                 return OwnerReply::Granted;
             };
-            let (_, hosts) = state.domain_hosts(self.domain());
+            let (_, hosts) = state.count_domain_hosts(self.domain());
             let allowed = state.meter.use_alone(now, charge.org, charge.units, &share, hosts);
             let (org, units) = (charge.org.0, charge.units);
             log::info!(
@@ -171,7 +171,12 @@
     }
 
     /// Answers another host's question as the owner.
-    pub(super) fn hear_limit_ask(&self, from: SocketAddr, host: IncarnationId, ask: &LimitAsk) {
+    pub(super) fn receive_limit_request(
+        &self,
+        from: SocketAddr,
+        host: IncarnationId,
+        ask: &LimitAsk,
+    ) {
         let Some(answer) = self.grant(self.now(), host, ask) else { return };
         if ask.sequence != 0 {
             self.send(from, &GatewayDatagram::LimitAnswer(answer));
@@ -194,7 +199,7 @@
     }
 
     /// Lends to the owner of another failure domain.
-    pub(super) fn hear_loan_ask(&self, from: SocketAddr, ask: &LoanAsk) {
+    pub(super) fn receive_loan_request(&self, from: SocketAddr, ask: &LoanAsk) {
         let now = self.now();
         let loan = {
             let mut state = self.state();
@@ -207,7 +212,7 @@
     }
 
     /// Takes over a loan.
-    pub(super) fn hear_loan(&self, loan: &LimitLoan) {
+    pub(super) fn receive_loan(&self, loan: &LimitLoan) {
         let now = self.now();
         let mut state = self.state();
         let Some(share) = state.domain_share(loan.org, self.domain()) else { return };
@@ -215,16 +220,16 @@
     }
 
     /// Forgets what this host granted for organisations, and of repeats, of which it was not the owner all the time.
-    fn look_after_accounts(&self) {
+    fn discard_unowned_accounts(&self) {
         let (now, domain) = (self.now(), self.domain());
         let mut state = self.state();
         let mut ledger = std::mem::take(&mut state.ledger);
         let since = ledger.term().looked_at();
-        ledger.look_after(now, |org| state.has_owned(now, org, domain, since));
+        ledger.look_after(now, |org| state.has_owned_share(now, org, domain, since));
         state.ledger = ledger;
         let mut pools = std::mem::take(&mut state.retry_pools);
         let since = pools.term().looked_at();
-        pools.look_after(now, |service| state.has_owned(now, service, domain, since));
+        pools.look_after(now, |service| state.has_owned_share(now, service, domain, since));
         state.retry_pools = pools;
     }
 
@@ -266,12 +271,12 @@
 
 /// Tells owners of use that they do not know of: given back, or taken while they were silent. Looks after the accounts of
 /// which this host is the owner.
-pub(super) async fn run_limits(host: Arc<GatewayHost>) {
+pub(super) async fn run_limit_charges(host: Arc<GatewayHost>) {
     let mut ticker = tokio::time::interval(TELL_LOOK);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticker.tick().await;
-        host.look_after_accounts();
+        host.discard_unowned_accounts();
         host.tell_use();
     }
 }
@@ -285,7 +290,7 @@
     }
 
     /// Whether this host is the owner of a failure domain's part of something, and has been ever since a moment.
-    pub(super) fn has_owned(
+    pub(super) fn has_owned_share(
         &self,
         now: TimePoint,
         thing: NameKey,
@@ -303,7 +308,7 @@
     /// domain as much as the hosts that it sees there are of all that it ever saw there. The others may be
     /// cut off, and have the rest.
     fn domain_share(&self, org: OrgKey, domain: NameKey) -> Option<LimitShare> {
-        let (seen, known) = self.domain_hosts(domain);
+        let (seen, known) = self.count_domain_hosts(domain);
         Some(self.whole_share(org)?.part(seen, known))
     }
 
@@ -314,7 +319,7 @@
     }
 
     /// Hosts of a failure domain that are there, and all that this one ever heard of, itself included.
-    pub(super) fn domain_hosts(&self, domain: NameKey) -> (usize, usize) {
+    pub(super) fn count_domain_hosts(&self, domain: NameKey) -> (usize, usize) {
         let (mut seen, mut known) = (HashSet::new(), HashSet::new());
         for host in self.members.all().filter(|host| host.domain == domain) {
             known.insert(host.address);
@@ -326,7 +331,7 @@
     }
 
     /// A changed configuration may lower limits.
-    pub(super) fn cut_limits(&mut self, now: TimePoint) {
+    pub(super) fn lower_limits(&mut self, now: TimePoint) {
         let (routes, bounds) = (Arc::clone(&self.routes), self.bounds.limits);
         self.ledger.cut(now, |org| {
             let limit = routes.organisations().organisation(org)?.limit?;
--- a/src/gateway/limit_news.rs
+++ b/src/gateway/limit_gossip.rs
@@ -18,14 +18,14 @@
 const TRAIL_PERIODS: u64 = 2;
 
 /// Tells limits and trails while there are some.
-pub(super) async fn run_limit_news(host: Arc<GatewayHost>) {
+pub(super) async fn run_limit_gossip(host: Arc<GatewayHost>) {
     let mut ticker = tokio::time::interval(TELL_PERIOD);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut round = 0_u64;
     loop {
         ticker.tick().await;
         round += 1;
-        host.tell_server_limits();
+        host.send_server_limits();
         if round.is_multiple_of(TRAIL_PERIODS) {
             host.tell_trails();
         }
@@ -33,7 +33,7 @@
 }
 
 impl GatewayHost {
-    fn tell_server_limits(&self) {
+    fn send_server_limits(&self) {
         let now = self.now();
         let news = self.state().sends.book.untold(now);
         if news.is_empty() {
@@ -60,26 +60,26 @@
         self.state().sends.desk.retain(now, |server| owned.contains(&server));
         for server in limited {
             if self.state().sends.log.recent(now, server, LOG_TIME) > 0 {
-                self.tell_owner(server, CallRank::default(), AskPurpose::Tell);
+                self.notify_owner(server, CallRank::default(), AskPurpose::Tell);
             }
         }
     }
 
     /// Takes over what another host told.
-    pub(super) fn hear_server_limits(&self, news: &[LimitNews]) {
+    pub(super) fn receive_server_limits(&self, news: &[LimitNews]) {
         let now = self.now();
         let changes: Vec<LimitChange> = {
             let mut state = self.state();
             news.iter().filter_map(|news| state.sends.book.merge(now, news)).collect()
         };
         for change in changes {
-            self.spread_limit_change(&change, "peer");
+            self.announce_limit_change(&change, "peer");
         }
     }
 
     /// A server's limit changed, as far as this host knows: others are told at once, so that 300 hosts know within
     /// some round trips, and not within as many periods.
-    pub(super) fn spread_limit_change(&self, change: &LimitChange, source: &str) {
+    pub(super) fn announce_limit_change(&self, change: &LimitChange, source: &str) {
         let now = self.now();
         let LimitNews { server, version, limit } = change.now;
         let (id, sent) = {
@@ -97,6 +97,6 @@
             server.0
         );
         self.metrics().add("server_limit_changes", 1);
-        self.tell_server_limits();
+        self.send_server_limits();
     }
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,8 +1,8 @@
 //! Gateway joins the decisions and the edges into the daemon that runs on the users' platform.
 //!
 //! A request takes one way through it: `caller_loop` reads it, `call_route` finds its service,
-//! `caller_gate` lets its caller in, `limit_desk` charges its organisation,
-//! `plain_call` or `engine_call` runs it (`run_open` opens a run: `decode_room` holds memory,
+//! `caller_auth` lets its caller in, `limit_charge` charges its organisation,
+//! `plain_call` or `engine_call` runs it (`run_open` opens a run: `decode_reservation` holds memory,
 //! `prompt_read` has the prompt read, `run_start` sends it), and `event_relay` passes a stream on.
 
 mod age_loop;
@@ -10,16 +10,16 @@
 mod call_end;
 mod call_log;
 mod call_route;
+mod caller_auth;
 mod caller_body;
-mod caller_gate;
 mod caller_loop;
 mod crash_news;
 mod crash_store;
 mod crash_watch;
-mod decode_room;
+mod decode_reservation;
 mod duty_log;
 mod engine_call;
-mod engine_hold;
+mod engine_resource;
 mod event_reader;
 mod event_relay;
 mod flight_guard;
@@ -27,9 +27,9 @@
 mod gateway_start;
 mod gateway_state;
 mod host_account;
-mod limit_desk;
-mod limit_hearing;
-mod limit_news;
+mod limit_answers;
+mod limit_charge;
+mod limit_gossip;
 mod load_guard;
 mod load_news;
 mod peer_loop;
@@ -38,7 +38,7 @@
 mod prompt_read;
 mod ready_server;
 mod reply_waits;
-mod retry_desk;
+mod retry_grants;
 mod run_open;
 mod run_start;
 mod send_owner;
--- a/src/gateway/peer_loop.rs
+++ b/src/gateway/peer_loop.rs
@@ -43,19 +43,23 @@
             Ok(GatewayDatagram::Notice(notice)) => host.hear_notice(notice),
             Ok(GatewayDatagram::AgeQuestion(question)) => host.answer_age(address, question),
             Ok(GatewayDatagram::AgeAnswer(answer)) => host.hear_age(address, answer),
-            Ok(GatewayDatagram::LimitAsk(from, ask)) => host.hear_limit_ask(address, from, &ask),
+            Ok(GatewayDatagram::LimitAsk(from, ask)) => {
+                host.receive_limit_request(address, from, &ask)
+            }
             Ok(GatewayDatagram::LimitAnswer(answer)) => {
                 // Nobody waits for one that comes late; the next question tells what was used.
                 host.limit_waits.end(answer.sequence, answer);
             }
-            Ok(GatewayDatagram::LoanAsk(ask)) => host.hear_loan_ask(address, &ask),
-            Ok(GatewayDatagram::LimitLoan(loan)) => host.hear_loan(&loan),
+            Ok(GatewayDatagram::LoanAsk(ask)) => host.receive_loan_request(address, &ask),
+            Ok(GatewayDatagram::LimitLoan(loan)) => host.receive_loan(&loan),
             Ok(GatewayDatagram::Crashes(report)) => host.hear_crashes(&report),
-            Ok(GatewayDatagram::ServerLimits(news)) => host.hear_server_limits(&news),
-            Ok(GatewayDatagram::SendAsk(from, ask)) => host.hear_send_ask(address, from, &ask),
+            Ok(GatewayDatagram::ServerLimits(news)) => host.receive_server_limits(&news),
+            Ok(GatewayDatagram::SendAsk(from, ask)) => {
+                host.receive_send_request(address, from, &ask)
+            }
             Ok(GatewayDatagram::SendReply(reply)) => host.send_waits.end(reply.sequence, reply),
-            Ok(GatewayDatagram::LimitAnswered(answered)) => host.hear_answered(&answered),
-            Ok(GatewayDatagram::RetryAsk(ask)) => host.hear_retry_ask(address, &ask),
+            Ok(GatewayDatagram::LimitAnswered(answered)) => host.receive_limit_answered(&answered),
+            Ok(GatewayDatagram::RetryAsk(ask)) => host.receive_retry_request(address, &ask),
             Ok(GatewayDatagram::RetryReply(reply)) => host.retry_waits.end(reply.sequence, reply),
             Err(error) => {
                 log::warn!("event=datagram_refused peer={address} cause=\"{error}\"");
@@ -106,7 +110,7 @@
     let orders = host.state().members.merge_all(now, &members);
     host.carry_out(orders);
     host.hear_crashes(&crashes);
-    host.hear_server_limits(&limits);
+    host.receive_server_limits(&limits);
     true
 }
 
@@ -159,7 +163,7 @@
             GatewayRequest::Sync { members, crashes, limits } => {
                 let now = self.now();
                 self.hear_crashes(&crashes);
-                self.hear_server_limits(&limits);
+                self.receive_server_limits(&limits);
                 let mut state = self.state();
                 let orders = state.members.merge_all(now, &members);
                 let (members, crashes) =
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -22,7 +22,7 @@
 /// or two, and one that is silent costs 65 ms.
 const ASKING_TIME: Duration = Duration::from_millis(100);
 /// When a caller may come back after all servers turned the request away: a few service times.
-const TURNED_AWAY_PAUSE: Duration = Duration::from_millis(300);
+const REJECTED_PAUSE: Duration = Duration::from_millis(300);
 
 /// What one attempt at one server came to.
 #[derive(Debug)]
@@ -86,7 +86,7 @@
     record: &AttemptRecord,
 ) -> Option<(ServerEntry, SendPermit)> {
     let spent = record.sent >= context.route.most_servers || record.unreached >= MOST_UNREACHED;
-    if spent || context.left().is_zero() || context.is_held_back(record.sent).await {
+    if spent || context.time_left().is_zero() || context.is_held_back(record.sent).await {
         return None;
     }
     let (kind, near) = (ChoiceKind::Requests, context.host.domain());
@@ -95,7 +95,7 @@
     let untried = ranked.into_iter().filter(|server| !record.tried.contains(&server.key()));
     let (server, permit) = first_permitted(context, untried).await?;
     let repeat = record.sent > 0;
-    if repeat && !context.host.take_repeats(context.service, 1).await {
+    if repeat && !context.host.take_retries(context.service, 1).await {
         log::info!("event=repeat_denied request={} cause=retry_bounds", context.id());
         return None;
     }
@@ -124,7 +124,7 @@
         return CallEnd::Answered(failure);
     }
     if record.may_have_run {
-        return if context.left().is_zero() {
+        return if context.time_left().is_zero() {
             CallEnd::TimedOut
         } else {
             CallEnd::Unknown("no_answer")
@@ -136,8 +136,8 @@
     if context.is_limited_out(None) {
         return context.refuse_at_limit(None).await;
     }
-    let reason = if record.sent > 0 { NotRunReason::TurnedAway } else { NotRunReason::NoServer };
-    CallEnd::NotRun(reason, TURNED_AWAY_PAUSE)
+    let reason = if record.sent > 0 { NotRunReason::Rejected } else { NotRunReason::NoServer };
+    CallEnd::NotRun(reason, REJECTED_PAUSE)
 }
 
 async fn attempt(
@@ -152,7 +152,7 @@
     let repeatable = context.route.is_repeatable();
     let more = repeatable && record.sent + 1 < context.route.most_servers;
     let patience = context.route.objective * SILENCE_OBJECTIVES;
-    let limit = if more { patience.min(context.left()) } else { context.left() };
+    let limit = if more { patience.min(context.time_left()) } else { context.time_left() };
     let end = match tokio::time::timeout(limit, exchange(context, server, &mut permit)).await {
         Ok(Ok(end)) => end,
         Ok(Err(Error::NotSent(_))) => AttemptEnd::NotSent,
@@ -174,7 +174,7 @@
     permit: &mut SendPermit,
 ) -> Result<AttemptEnd> {
     let rested = if context.route.is_repeatable() { Duration::MAX } else { FRESH_CONNECTION };
-    let (purpose, left) = (CallPurpose::Plain, context.left());
+    let (purpose, left) = (CallPurpose::Plain, context.time_left());
     let part = CallPart::Whole;
     let response = send_request(context, server, purpose, left, part, rested, permit).await?;
     let kind = read_answer(&response);
--- a/src/gateway/prompt_read.rs
+++ b/src/gateway/prompt_read.rs
@@ -1,5 +1,5 @@
 use super::call_context::CallContext;
-use super::engine_hold::EngineKeep;
+use super::engine_resource::EngineResource;
 use super::load_guard::LoadGuard;
 use super::send_permit::SendPermit;
 use super::server_call::{CallPurpose, send_request};
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub(super) enum PromptEnd {
     /// It lies in the memory of a prefill server.
-    Read(EngineKeep),
+    Read(EngineResource),
     /// No prefill server reads it in time; its decode server reads it itself.
     LeftToDecode,
     /// No prefill server read it, and too much of its objective has passed for its decode server to.
@@ -60,16 +60,16 @@
             continue;
         };
         // The first read is no repeat; each further one counts as one.
-        if reads > 0 && !context.host.take_repeats(context.service, 1).await {
+        if reads > 0 && !context.host.take_retries(context.service, 1).await {
             break;
         }
         reads += 1;
         match read_at(context, server, permit).await {
             Ok(ReadEnd::Read(result)) => {
-                let keep = EngineKeep::handle(&context.host, server.clone(), result);
+                let keep = EngineResource::handle(&context.host, server.clone(), result);
                 return PromptEnd::Read(keep);
             }
-            Ok(ReadEnd::TurnedAway) => {
+            Ok(ReadEnd::Rejected) => {
                 // Its queue is empty because it reads nothing: it changes its stage, and the host
                 // that ordered this has not said so, or is gone.
                 context.host.note_server(server, ServerNote::Erred);
@@ -113,7 +113,7 @@
 enum ReadEnd {
     Read(PrefillResult),
     /// It did not read the prompt.
-    TurnedAway,
+    Rejected,
     /// Its answer has no result.
     Failed,
 }
@@ -128,7 +128,7 @@
     let load = ServerLoad { requests: 1, prompt_tokens: tokens, ..ServerLoad::default() };
     let _load = LoadGuard::new(&context.host, server.key(), load);
     context.host.note_server(server, ServerNote::Sent);
-    let limit = READ_LIMIT.min(context.left());
+    let limit = READ_LIMIT.min(context.time_left());
     let began = context.host.now();
     let exchange = ask_reader(context, server, limit, &mut permit);
     let read = tokio::time::timeout(limit, exchange).await.map_err(|_elapsed| Error::Timeout)??;
@@ -163,7 +163,7 @@
             "event=prompt_unread request={id} server={server} status={status} kind={kind:?}"
         );
         let turned_away = kind == AnswerKind::NotRun;
-        return Ok(if turned_away { ReadEnd::TurnedAway } else { ReadEnd::Failed });
+        return Ok(if turned_away { ReadEnd::Rejected } else { ReadEnd::Failed });
     }
     let result = body.read_as(|bytes| decode_body(bytes)).await?;
     Ok(ReadEnd::Read(result))
--- a/src/gateway/retry_desk.rs
+++ b/src/gateway/retry_grants.rs
@@ -13,7 +13,7 @@
 
 impl GatewayHost {
     /// Takes `count` repeats of a service's requests, if the bounds allow them.
-    pub(super) async fn take_repeats(&self, service: ServiceKey, count: u32) -> bool {
+    pub(super) async fn take_retries(&self, service: ServiceKey, count: u32) -> bool {
         if self.take_own_repeats(service, count) {
             self.metrics().add("repeats_own", count.into());
             return true;
@@ -54,7 +54,7 @@
     }
 
     /// Answers another host of the failure domain.
-    pub(super) fn hear_retry_ask(&self, from: SocketAddr, ask: &RetryAsk) {
+    pub(super) fn receive_retry_request(&self, from: SocketAddr, ask: &RetryAsk) {
         let reply = self.grant_repeats(ask);
         self.send(from, &GatewayDatagram::RetryReply(reply));
     }
@@ -63,7 +63,7 @@
         let now = self.now();
         let mut state = self.state();
         let bounds = state.bounds.retries;
-        let (seen, known) = state.domain_hosts(self.domain());
+        let (seen, known) = state.count_domain_hosts(self.domain());
         let share = RetryShare::of_domain(&bounds, seen, known);
         let is_settled = state.members.is_settled(now, bounds.window)
             && state.retry_pools.term().lasts_for(now, bounds.window);
--- a/src/gateway/run_open.rs
+++ b/src/gateway/run_open.rs
@@ -2,8 +2,8 @@
 
 use super::call_context::CallContext;
 use super::call_end::{CallEnd, NotRunReason};
-use super::decode_room::{decode_load, find_room, needed_tokens};
-use super::engine_hold::{EngineKeep, take_hold};
+use super::decode_reservation::{decode_load, needed_tokens, reserve_memory};
+use super::engine_resource::{EngineResource, acquire_hold};
 use super::event_reader::EventReader;
 use super::load_guard::LoadGuard;
 use super::prompt_read::{PromptEnd, read_prompt};
@@ -24,7 +24,7 @@
 /// Spread of that pause, so that callers do not come back together, as a part of it.
 const PAUSE_SPREAD: f64 = 0.3;
 /// When a caller may come back after its server turned it away for another reason.
-const TURNED_AWAY_PAUSE: Duration = Duration::from_millis(200);
+const REJECTED_PAUSE: Duration = Duration::from_millis(200);
 /// When a caller may come back if no server takes work at all.
 const NO_SERVER_PAUSE: Duration = Duration::from_secs(1);
 /// A request turned away by its decode server is tried once more there while this part of its
@@ -61,7 +61,7 @@
             Ok(run) => return Ok(run),
             Err(failure) => failure,
         };
-        if let OpenFailure::TurnedAway(server) = &failure {
+        if let OpenFailure::Rejected(server) = &failure {
             match open_again(context, engine, after, server, runs).await {
                 Ok(run) => return Ok(run),
                 Err(again) => failure = again,
@@ -72,12 +72,12 @@
                 return Err(context.refuse_at_limit(Some(ServerStage::Decode)).await);
             }
             OpenFailure::NotRun(reason) => return Err(refuse(reason)),
-            OpenFailure::TurnedAway(_) => return Err(refuse(NotRunReason::TurnedAway)),
+            OpenFailure::Rejected(_) => return Err(refuse(NotRunReason::Rejected)),
             OpenFailure::Failed(answer) => CallEnd::Answered(answer),
-            OpenFailure::Unknown(_) if context.left().is_zero() => CallEnd::TimedOut,
+            OpenFailure::Unknown(_) if context.time_left().is_zero() => CallEnd::TimedOut,
             OpenFailure::Unknown(cause) => CallEnd::Unknown(cause),
         };
-        if !may_run_again(context, runs).await {
+        if !may_retry_run(context, runs).await {
             return Err(end);
         }
         log::info!(
@@ -91,11 +91,11 @@
 
 /// A run that failed is repeated where the route allows it, and the retry bounds do: reading the
 /// prompt again and running again count as one repeat each.
-pub(super) async fn may_run_again(context: &CallContext, runs: &RunRecord) -> bool {
+pub(super) async fn may_retry_run(context: &CallContext, runs: &RunRecord) -> bool {
     context.route.is_repeatable()
         && runs.sent < context.route.most_servers
-        && !context.left().is_zero()
-        && context.host.take_repeats(context.service, 2).await
+        && !context.time_left().is_zero()
+        && context.host.take_retries(context.service, 2).await
 }
 
 /// The refusal of a request that did not run, with when its caller may come back.
@@ -109,9 +109,9 @@
         | NotRunReason::RouteUnknown
         | NotRunReason::LimitUnknown => spread(NO_SERVER_PAUSE),
         NotRunReason::PromptNotRead
-        | NotRunReason::TurnedAway
+        | NotRunReason::Rejected
         | NotRunReason::OutOfTime
-        | NotRunReason::ServersAtLimit => spread(TURNED_AWAY_PAUSE),
+        | NotRunReason::ServersAtLimit => spread(REJECTED_PAUSE),
     };
     CallEnd::NotRun(reason, pause)
 }
@@ -133,14 +133,14 @@
     runs: &mut RunRecord,
 ) -> Result<OpenRun, OpenFailure> {
     let mut room =
-        find_room(context, engine, after, &runs.lost).await.map_err(OpenFailure::NotRun)?;
+        reserve_memory(context, engine, after, &runs.lost).await.map_err(OpenFailure::NotRun)?;
     let held_at = context.host.now();
     let mut prompt = match read_prompt(context, room.keep.server.domain).await {
         PromptEnd::Read(keep) => Some(keep),
         PromptEnd::LeftToDecode => None,
         PromptEnd::Failed => return Err(OpenFailure::NotRun(NotRunReason::PromptNotRead)),
     };
-    if context.left().is_zero() {
+    if context.time_left().is_zero() {
         return Err(OpenFailure::NotRun(NotRunReason::OutOfTime));
     }
     // News of its other runs may have come while its prompt was read.
@@ -148,12 +148,14 @@
         return Err(OpenFailure::NotRun(NotRunReason::HeldBack));
     }
     if is_lost(context, &mut room.keep) {
-        room = find_room(context, engine, after, &runs.lost).await.map_err(OpenFailure::NotRun)?;
+        room = reserve_memory(context, engine, after, &runs.lost)
+            .await
+            .map_err(OpenFailure::NotRun)?;
     }
     let server = room.keep.server.clone();
     let held_for = context.host.now().since(held_at);
     if held_for > LEAVING_SLACK && !context.host.state().fleet.is_ready(server.key()) {
-        return Err(OpenFailure::NotRun(NotRunReason::TurnedAway));
+        return Err(OpenFailure::NotRun(NotRunReason::Rejected));
     }
     if prompt.as_mut().is_some_and(|keep| is_lost(context, keep)) {
         prompt = None;
@@ -183,7 +185,7 @@
 
 /// Whether what a server keeps for a request is gone, since the server has started again. It is neither used
 /// nor given back: its name may be that of another request's by now.
-fn is_lost(context: &CallContext, keep: &mut EngineKeep) -> bool {
+fn is_lost(context: &CallContext, keep: &mut EngineResource) -> bool {
     let lost = context.host.has_restarted(&keep.server);
     if lost {
         let (id, server) = (context.id(), &keep.server.id);
@@ -202,15 +204,15 @@
     server: &ServerEntry,
     runs: &mut RunRecord,
 ) -> Result<OpenRun, OpenFailure> {
-    let turned_away = || OpenFailure::TurnedAway(server.clone());
+    let turned_away = || OpenFailure::Rejected(server.clone());
     let late = context.age() > context.route.objective.mul_f64(SECOND_TRY_PART);
     let gone = context.host.has_restarted(server);
-    if late || gone || !context.host.take_repeats(context.service, 1).await {
+    if late || gone || !context.host.take_retries(context.service, 1).await {
         return Err(turned_away());
     }
     let tokens = needed_tokens(context, engine, after);
     let mut permit = context.permit(server).await.ok_or_else(at_limit)?;
-    let hold = take_hold(&context.host, server, tokens, engine.longest_hold).await;
+    let hold = acquire_hold(&context.host, server, tokens, engine.longest_hold).await;
     let Ok(Some(mut keep)) = hold else {
         return Err(turned_away());
     };
@@ -218,7 +220,7 @@
     let part = DecodePart { source: None, hold: keep.name(), after_event: after };
     let opened = run_at(context, server, part, runs, &mut permit).await;
     keep.used();
-    if let Err(OpenFailure::TurnedAway(_)) = &opened {
+    if let Err(OpenFailure::Rejected(_)) = &opened {
         // It granted a hold and turned the run away twice: it changes its stage, and the host that
         // ordered this has not said so.
         let now = context.host.now();
--- a/src/gateway/run_start.rs
+++ b/src/gateway/run_start.rs
@@ -24,7 +24,7 @@
     /// Nothing ran: the request may be refused or sent again.
     NotRun(NotRunReason),
     /// The server turned it away with the prompt's result; it may read the prompt itself.
-    TurnedAway(ServerEntry),
+    Rejected(ServerEntry),
     /// The server ran it and failed.
     Failed(ServerAnswer),
     /// It may have run.
@@ -63,7 +63,8 @@
     runs.sent += 1;
     context.host.note_server(server, ServerNote::Sent);
     let may_repeat = context.route.is_repeatable() && runs.sent < context.route.most_servers;
-    let limit = if may_repeat { FIRST_EVENT_LIMIT.min(context.left()) } else { context.left() };
+    let limit =
+        if may_repeat { FIRST_EVENT_LIMIT.min(context.time_left()) } else { context.time_left() };
     let started = match tokio::time::timeout(limit, start_run(context, server, part, permit)).await
     {
         Ok(started) => started,
@@ -76,7 +77,7 @@
     };
     context.host.note_server(server, note);
     runs.may_have_run |=
-        !matches!(&started, Err(OpenFailure::NotRun(_) | OpenFailure::TurnedAway(_)));
+        !matches!(&started, Err(OpenFailure::NotRun(_) | OpenFailure::Rejected(_)));
     log_start(context, server, part.source.is_some(), &started);
     started
 }
@@ -100,7 +101,7 @@
             return;
         }
         Err(OpenFailure::NotRun(reason)) => reason.name(),
-        Err(OpenFailure::TurnedAway(_)) => "turned_away",
+        Err(OpenFailure::Rejected(_)) => "turned_away",
         Err(OpenFailure::Failed(_)) => "failed",
         Err(OpenFailure::Unknown(cause)) => cause,
     };
@@ -121,11 +122,11 @@
     part: DecodePart<'_>,
     permit: &mut SendPermit,
 ) -> Result<RunStart, OpenFailure> {
-    let (purpose, left, part) = (CallPurpose::Run, context.left(), CallPart::Decode(part));
+    let (purpose, left, part) = (CallPurpose::Run, context.time_left(), CallPart::Decode(part));
     let sent = send_request(context, server, purpose, left, part, Duration::MAX, permit).await;
     let response = match sent {
         Ok(response) => response,
-        Err(Error::NotSent(_)) => return Err(OpenFailure::TurnedAway(server.clone())),
+        Err(Error::NotSent(_)) => return Err(OpenFailure::Rejected(server.clone())),
         Err(Error::Foreign { .. }) => return Err(OpenFailure::Unknown("foreign_answer")),
         Err(error) => return Err(broke_off(context, server, &error)),
     };
@@ -142,7 +143,7 @@
         AnswerKind::NotRun => {
             // The connection is kept only if its answer is read to the end.
             drop(body.read_all().await);
-            Err(OpenFailure::TurnedAway(server.clone()))
+            Err(OpenFailure::Rejected(server.clone()))
         }
         AnswerKind::Failed => {
             let body = body.read_all().await;
--- a/src/gateway/send_owner.rs
+++ b/src/gateway/send_owner.rs
@@ -17,7 +17,7 @@
 impl GatewayHost {
     /// Asks for a request of `rank` to go to a server that has a limit; the moment at which it counts as sent, if
     /// it may go.
-    pub(super) async fn ask_to_send(
+    pub(super) async fn request_send(
         &self,
         id: &str,
         server: ServerKey,
@@ -46,7 +46,7 @@
     }
 
     /// When a caller may come back that a server's limit leaves no room for now; `None` if its owner does not say.
-    pub(super) async fn ask_come_back(
+    pub(super) async fn request_retry_pause(
         &self,
         server: ServerKey,
         rank: CallRank,
@@ -60,7 +60,7 @@
     }
 
     /// Tells a server's owner what this host sent there.
-    pub(super) fn tell_owner(&self, server: ServerKey, rank: CallRank, purpose: AskPurpose) {
+    pub(super) fn notify_owner(&self, server: ServerKey, rank: CallRank, purpose: AskPurpose) {
         let now = self.now();
         let ask = self.state().sends.ask(now, server, rank, purpose);
         match self.send_owner(server) {
@@ -84,7 +84,12 @@
     }
 
     /// Answers another host's question.
-    pub(super) fn hear_send_ask(&self, from: SocketAddr, host: IncarnationId, ask: &SendAsk) {
+    pub(super) fn receive_send_request(
+        &self,
+        from: SocketAddr,
+        host: IncarnationId,
+        ask: &SendAsk,
+    ) {
         let reply = self.decide_send(host, ask);
         if ask.purpose.wants_reply() {
             self.send(from, &GatewayDatagram::SendReply(reply));
@@ -99,7 +104,7 @@
             state.sends.receive(now, from, ask, is_owner)
         };
         if let Some(change) = change {
-            self.spread_limit_change(&change, "peer");
+            self.announce_limit_change(&change, "peer");
         }
         reply
     }
--- a/src/gateway/send_permit.rs
+++ b/src/gateway/send_permit.rs
@@ -67,7 +67,7 @@
         }
         self.host.state().sends.log.take_back(self.noted_at, self.server);
         if self.is_granted {
-            self.host.tell_owner(self.server, self.rank, AskPurpose::GiveBack);
+            self.host.notify_owner(self.server, self.rank, AskPurpose::GiveBack);
         }
     }
 }
@@ -86,7 +86,7 @@
             is_limited
         };
         let noted_at =
-            if is_limited { host.ask_to_send(self.id(), key, self.rank).await? } else { now };
+            if is_limited { host.request_send(self.id(), key, self.rank).await? } else { now };
         Some(SendPermit {
             host: Arc::clone(host),
             server: key,
@@ -118,7 +118,7 @@
     pub async fn refuse_at_limit(&self, stage: Option<ServerStage>) -> CallEnd {
         let closed = self.closed_servers(stage);
         let told = match draw_server(&closed) {
-            Some(server) => self.host.ask_come_back(server, self.rank).await,
+            Some(server) => self.host.request_retry_pause(server, self.rank).await,
             None => None,
         };
         let pause = told.unwrap_or(UNTOLD_PAUSE).max(LEAST_PAUSE);
--- a/src/gateway/server_call.rs
+++ b/src/gateway/server_call.rs
@@ -68,7 +68,7 @@
     let request = context.call.to_server(server, left, part);
     let limits = SendLimits { connect: CONNECT_LIMIT, rested };
     let (host, sent_at) = (&context.host, context.host.now());
-    context.note_sent(sent_at);
+    context.record_sent(sent_at);
     // Also a request that is given up on its way may have arrived.
     permit.used();
     let response =
@@ -77,7 +77,7 @@
                 permit.unused();
             }
         })?;
-    host.hear_limit(server, sent_at, &read_limit(response.headers()));
+    host.apply_named_limit(server, sent_at, &read_limit(response.headers()));
     Ok(response)
 }
 
--- a/tests/foreign_answers.rs
+++ b/tests/foreign_answers.rs
@@ -25,7 +25,7 @@
 
 mod site_common;
 
-use site_common::{ask, call, runtime};
+use site_common::{call, call_first_host, runtime};
 
 /// A site with one prefill server, which is reached over a link that can give answers twice.
 async fn duplicating_site() -> (TestSite, DuplicateLink) {
@@ -54,7 +54,7 @@
         link.duplicate(DuplicatePlan { request_has: "x-stage: prefill", times: 1 });
         for number in 0..8 {
             let id = format!("r{number}");
-            let reply = ask(&site, &call("POST", "stream", &id)).await;
+            let reply = call_first_host(&site, &call("POST", "stream", &id)).await;
             assert_eq!(reply.status, 200, "{id}");
             assert_eq!(prompts(&reply), [id]);
         }
@@ -195,7 +195,7 @@
         for engine in &site.decodes {
             engine.set_fault(EngineFault::StrayAfter(3));
         }
-        let reply = ask(&site, &call("POST", route, "r1")).await;
+        let reply = call_first_host(&site, &call("POST", route, "r1")).await;
         let text = String::from_utf8_lossy(&reply.body).into_owned();
         assert!(!text.contains("stray") && !text.contains("HTTP/1.1"), "{text}");
         assert_eq!(reply.complete, whole);
@@ -271,9 +271,9 @@
         site.state_server("i-service-0", "app", address, None, "ready");
         site.add_host().await.expect("a host");
         site.wait_ready().await;
-        let first = ask(&site, &call("POST", "once", "r1")).await;
+        let first = call_first_host(&site, &call("POST", "once", "r1")).await;
         assert_eq!(first.body, "secret of r1!");
-        let second = ask(&site, &call("POST", "once", "r2")).await;
+        let second = call_first_host(&site, &call("POST", "once", "r2")).await;
         assert_eq!(String::from_utf8_lossy(&second.body), body);
         assert_eq!(second.status.is_success(), served);
     });
--- a/tests/foreign_entries.rs
+++ b/tests/foreign_entries.rs
@@ -13,7 +13,7 @@
     FOREIGN, KNOWN, add_ready_host, assert_servers, changed_spec, knows, reach_revision, site_of,
     wait_until,
 };
-use site_common::{ask, call, runtime};
+use site_common::{call, call_first_host, runtime};
 
 /// A change behind the unreadable one reaches the host, by the watch that it had.
 async fn assert_watch_goes_on(site: &TestSite, lists_before: u64) {
@@ -69,7 +69,7 @@
         wait_until("the server stays in use", || !knows(&site, KNOWN)).await;
         assert_servers(&site, Some(KNOWN));
         for number in 0..4 {
-            let reply = ask(&site, &call("GET", "safe", &format!("r{number}"))).await;
+            let reply = call_first_host(&site, &call("GET", "safe", &format!("r{number}"))).await;
             assert_eq!(reply.status, 200);
         }
         assert_eq!(site.services[0].runs(), Vec::<String>::new());
@@ -166,7 +166,8 @@
         for route in ["safe", "once", "stream", "resume"] {
             for number in 0..4 {
                 let method = if route == "safe" { "GET" } else { "POST" };
-                let reply = ask(&site, &call(method, route, &format!("{route}{number}"))).await;
+                let reply =
+                    call_first_host(&site, &call(method, route, &format!("{route}{number}"))).await;
                 assert_eq!(reply.status, 200, "{route}");
             }
         }
--- a/tests/gateway_calls.rs
+++ b/tests/gateway_calls.rs
@@ -7,7 +7,7 @@
 
 mod site_common;
 
-use site_common::{ask, call, engine_runs, runtime, settled};
+use site_common::{call, call_first_host, engine_runs, runtime, wait_released};
 
 fn service_runs(site: &TestSite, id: &str) -> usize {
     site.services.iter().flat_map(|service| service.runs()).filter(|run| run == id).count()
@@ -17,14 +17,14 @@
 fn stream_held_prefilled_and_whole() {
     runtime().block_on(async {
         let site = TestSite::start(SitePlan::default()).await.expect("it starts");
-        let reply = ask(&site, &call("POST", "stream", "r1")).await;
+        let reply = call_first_host(&site, &call("POST", "stream", "r1")).await;
         assert_eq!((reply.status.as_u16(), reply.complete), (200, true));
         assert_eq!(reply.events(), (0..8).collect::<Vec<u64>>());
         let runs = engine_runs(&site, "r1");
         let decode = runs.iter().find(|run| run.stage == "decode").expect("it ran");
         assert_eq!(runs.len(), 2);
         assert!(decode.fetched && decode.held);
-        settled(&site).await;
+        wait_released(&site).await;
     });
 }
 
@@ -32,7 +32,7 @@
 fn plain_call_forwarded_unchanged() {
     runtime().block_on(async {
         let site = TestSite::start(SitePlan::default()).await.expect("it starts");
-        let reply = ask(&site, &call("POST", "once", "r1")).await;
+        let reply = call_first_host(&site, &call("POST", "once", "r1")).await;
         assert_eq!((reply.status.as_u16(), &reply.body[..]), (200, &b"/once/x?y=1 r1"[..]));
         assert_eq!(reply.header("x-request-id"), "r1");
         assert_eq!(service_runs(&site, "r1"), 1);
@@ -43,7 +43,7 @@
 fn unknown_route_gets_404() {
     runtime().block_on(async {
         let site = TestSite::start(SitePlan::default()).await.expect("it starts");
-        let reply = ask(&site, &call("GET", "nowhere", "r1")).await;
+        let reply = call_first_host(&site, &call("GET", "nowhere", "r1")).await;
         assert_eq!(reply.status.as_u16(), 404);
     });
 }
@@ -55,7 +55,7 @@
         for engine in &site.decodes {
             engine.set_fault(EngineFault::Full);
         }
-        let reply = ask(&site, &call("POST", "stream", "r1")).await;
+        let reply = call_first_host(&site, &call("POST", "stream", "r1")).await;
         assert_eq!(reply.status.as_u16(), 503);
         assert!(reply.header("retry-after").parse::<f64>().expect("seconds") > 0.0);
         assert!(engine_runs(&site, "r1").is_empty(), "no prompt is read without a place to go");
@@ -69,11 +69,11 @@
         for engine in &site.decodes {
             engine.set_fault(EngineFault::LoseHandles);
         }
-        let reply = ask(&site, &call("POST", "stream", "r1")).await;
+        let reply = call_first_host(&site, &call("POST", "stream", "r1")).await;
         assert_eq!((reply.status.as_u16(), reply.events().len()), (200, 8));
         let decodes = engine_runs(&site, "r1").into_iter().filter(|run| run.stage == "decode");
         assert_eq!(decodes.map(|run| run.fetched).collect::<Vec<bool>>(), vec![false]);
-        settled(&site).await;
+        wait_released(&site).await;
     });
 }
 
@@ -84,7 +84,7 @@
         for engine in &site.decodes {
             engine.set_fault(EngineFault::CutAfter(3));
         }
-        let reply = ask(&site, &call("POST", "stream", "r1")).await;
+        let reply = call_first_host(&site, &call("POST", "stream", "r1")).await;
         assert!(!reply.complete);
         assert_eq!(reply.events(), vec![0, 1, 2], "whole events only");
     });
@@ -97,7 +97,7 @@
         site.decodes[0].set_fault(EngineFault::CutAfter(3));
         for place in 0..4 {
             let id = format!("r{place}");
-            let reply = ask(&site, &call("POST", "resume", &id)).await;
+            let reply = call_first_host(&site, &call("POST", "resume", &id)).await;
             assert!(reply.complete, "{id}");
             assert_eq!(reply.events(), (0..8).collect::<Vec<u64>>(), "{id}");
         }
@@ -112,7 +112,10 @@
         site.decodes[0].set_fault(EngineFault::StallAfter(3));
         site.decodes[1].set_fault(EngineFault::Full);
         let asking = Arc::clone(&site);
-        let caller = tokio::spawn(async move { ask(&asking, &call("POST", "resume", "r1")).await });
+        let caller =
+            tokio::spawn(
+                async move { call_first_host(&asking, &call("POST", "resume", "r1")).await },
+            );
         let ran = || engine_runs(&site, "r1").iter().any(|run| run.stage == "decode");
         while !ran() {
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -137,7 +140,7 @@
         for engine in &site.decodes {
             engine.set_fault(EngineFault::FailRuns);
         }
-        let reply = ask(&site, &call("POST", "stream", "r1")).await;
+        let reply = call_first_host(&site, &call("POST", "stream", "r1")).await;
         assert_eq!((reply.status.as_u16(), &reply.body[..]), (500, &b"failed"[..]));
         let decodes = engine_runs(&site, "r1").into_iter().filter(|run| run.stage == "decode");
         assert_eq!(decodes.count(), 1);
@@ -156,7 +159,7 @@
         }
         for route in ["stream", "once", "safe"] {
             let method = if route == "safe" { "GET" } else { "POST" };
-            let reply = ask(&site, &call(method, route, route)).await;
+            let reply = call_first_host(&site, &call(method, route, route)).await;
             assert_eq!(reply.status.as_u16(), 502, "{route}");
             assert!(reply.header("x-server-stamp").is_empty(), "{route}");
         }
@@ -170,7 +173,7 @@
         for service in &site.services {
             service.set_fault(ServiceFault::Unsigned);
         }
-        let reply = ask(&site, &call("POST", "once", "r1")).await;
+        let reply = call_first_host(&site, &call("POST", "once", "r1")).await;
         assert_eq!(reply.status.as_u16(), 502);
     });
 }
@@ -182,7 +185,7 @@
         for service in &site.services {
             service.set_fault(ServiceFault::LoseAnswers);
         }
-        let reply = ask(&site, &call("POST", "once", "r1")).await;
+        let reply = call_first_host(&site, &call("POST", "once", "r1")).await;
         assert_eq!(reply.status.as_u16(), 502, "never a promise that it did not run");
         assert_eq!(service_runs(&site, "r1"), 1);
     });
@@ -195,7 +198,7 @@
         site.services[0].set_fault(ServiceFault::LoseAnswers);
         for place in 0..6 {
             let id = format!("r{place}");
-            let reply = ask(&site, &call("GET", "safe", &id)).await;
+            let reply = call_first_host(&site, &call("GET", "safe", &id)).await;
             assert_eq!(reply.status.as_u16(), 200, "{id}");
         }
     });
@@ -208,7 +211,7 @@
         for service in &site.services {
             service.set_fault(ServiceFault::Full);
         }
-        let reply = ask(&site, &call("POST", "once", "r1")).await;
+        let reply = call_first_host(&site, &call("POST", "once", "r1")).await;
         assert_eq!(reply.status.as_u16(), 503);
         assert_eq!(service_runs(&site, "r1"), 0);
     });
@@ -222,7 +225,10 @@
             engine.set_fault(EngineFault::StallAfter(2));
         }
         let asking = Arc::clone(&site);
-        let caller = tokio::spawn(async move { ask(&asking, &call("POST", "stream", "r1")).await });
+        let caller =
+            tokio::spawn(
+                async move { call_first_host(&asking, &call("POST", "stream", "r1")).await },
+            );
         let ran = || engine_runs(&site, "r1").iter().any(|run| run.stage == "decode");
         while !ran() {
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -232,7 +238,7 @@
         while !stopped() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        settled(&site).await;
+        wait_released(&site).await;
     });
 }
 
@@ -244,7 +250,7 @@
         for name in ["x-stage", "kv-from", "hold", "x-expect-instance", "kv-backup"] {
             forged.headers.push((name, "forged".to_owned()));
         }
-        let reply = ask(&site, &forged).await;
+        let reply = call_first_host(&site, &forged).await;
         assert_eq!((reply.status.as_u16(), reply.events().len()), (200, 8));
     });
 }
--- a/tests/gateway_engines.rs
+++ b/tests/gateway_engines.rs
@@ -9,7 +9,7 @@
 
 mod site_common;
 
-use site_common::{ask, call, engine_runs, runtime, settled};
+use site_common::{call, call_first_host, engine_runs, runtime, wait_released};
 
 /// Bench: halvorsen-book trouble-1 seed 1 (DRAIN). A prefill server did not answer for 1.2 s; the
 /// next one had begun to leave meanwhile and was asked all the same.
@@ -23,7 +23,7 @@
             engine.set_fault(EngineFault::Silent);
         }
         let slow = call("POST", "stream", "slow");
-        let asked = ask(&site, &slow);
+        let asked = call_first_host(&site, &slow);
         let leave = async {
             tokio::time::sleep(Duration::from_millis(150)).await;
             for server in site.servers.iter().filter(|server| server.stage == Some(leaving)) {
@@ -38,7 +38,7 @@
         assert_eq!(reply.status, 503);
         let reached = engine_runs(&site, "slow").into_iter().filter(|run| run.stage == leaving);
         assert_eq!(reached.count(), 0);
-        settled(&site).await;
+        wait_released(&site).await;
     });
 }
 
@@ -59,12 +59,12 @@
             state.board.add(ServerKey::of("i-decode-1"), memory);
         }
         for number in 0..12 {
-            ask(&site, &call("POST", "stream", &format!("n{number}"))).await;
+            call_first_host(&site, &call("POST", "stream", &format!("n{number}"))).await;
         }
         // A run is sent twice to its server: the first refusal may have been the prompt's.
         assert!(site.prefills[0].turned_away() <= 1, "{}", site.prefills[0].turned_away());
         assert!(site.decodes[0].turned_away() <= 2, "{}", site.decodes[0].turned_away());
-        settled(&site).await;
+        wait_released(&site).await;
     });
 }
 
@@ -77,12 +77,12 @@
         for engine in &site.prefills {
             engine.set_fault(EngineFault::LoseReads);
         }
-        let reply = ask(&site, &call("POST", "stream", "r1")).await;
+        let reply = call_first_host(&site, &call("POST", "stream", "r1")).await;
         assert_eq!((reply.status.as_u16(), reply.complete), (200, true));
         let runs = engine_runs(&site, "r1");
         let stages: Vec<&str> = runs.iter().map(|run| run.stage.as_str()).collect();
         assert_eq!(stages, ["prefill", "decode"]);
-        settled(&site).await;
+        wait_released(&site).await;
     });
 }
 
@@ -104,9 +104,9 @@
                 engine.set_fault(EngineFault::Full);
             }
         };
-        let (reply, ()) = tokio::join!(ask(&site, &silent), fill);
+        let (reply, ()) = tokio::join!(call_first_host(&site, &silent), fill);
         assert_eq!(reply.status, 502);
-        settled(&site).await;
+        wait_released(&site).await;
     });
 }
 
@@ -128,12 +128,12 @@
                 meter.note_read(TimePoint::default(), tokens, took);
             }
         }
-        let reply = ask(&site, &call("POST", "stream", "late")).await;
+        let reply = call_first_host(&site, &call("POST", "stream", "late")).await;
         assert_eq!(reply.status, 200);
         let runs = engine_runs(&site, "late");
         assert_eq!(runs.len(), 1, "{runs:?}");
         assert_eq!(runs[0].stage, "decode");
         assert!(runs[0].held && !runs[0].fetched, "{runs:?}");
-        settled(&site).await;
+        wait_released(&site).await;
     });
 }
--- a/tests/gateway_keys.rs
+++ b/tests/gateway_keys.rs
@@ -9,7 +9,7 @@
 
 mod site_common;
 
-use site_common::{ask, call, engine_runs, runtime};
+use site_common::{call, call_first_host, engine_runs, runtime};
 
 const HANBIT: &str = "key-of-hanbit";
 const MOONBOOK: &str = "key-of-moonbook";
@@ -48,7 +48,7 @@
         if route == "resume" {
             site.decodes[0].set_fault(EngineFault::CutAfter(3));
         }
-        let reply = ask(&site, &keyed_call("POST", route, "r1", HANBIT)).await;
+        let reply = call_first_host(&site, &keyed_call("POST", route, "r1", HANBIT)).await;
         assert_eq!((reply.status.as_u16(), reply.complete), (200, true));
         let mut callers = service_callers(&site, "r1");
         callers.extend(engine_runs(&site, "r1").into_iter().map(|run| run.caller));
@@ -72,7 +72,7 @@
             Some(key) => keyed_call("GET", route, "r1", key),
             None => call("GET", route, "r1"),
         };
-        let reply = ask(&site, &call).await;
+        let reply = call_first_host(&site, &call).await;
         assert_eq!(reply.status.as_u16(), status);
         let callers = service_callers(&site, "r1");
         assert_eq!(callers.len(), usize::from(status == 200));
@@ -87,7 +87,7 @@
         let site = keyed_site(1).await;
         let mut call = keyed_call("GET", "once", "r1", HANBIT);
         call.headers.push(("authorization", format!("Token {MOONBOOK}")));
-        assert_eq!(ask(&site, &call).await.status.as_u16(), 401);
+        assert_eq!(call_first_host(&site, &call).await.status.as_u16(), 401);
     });
 }
 
@@ -121,16 +121,16 @@
         while site.hosts[0].host.is_ready() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        let reply = ask(&site, &keyed_call("GET", "once", "r1", HANBIT)).await;
+        let reply = call_first_host(&site, &keyed_call("GET", "once", "r1", HANBIT)).await;
         assert_eq!(reply.status.as_u16(), 503);
         assert!(reply.header("retry-after").parse::<f64>().expect("seconds") > 0.0);
         assert!(service_callers(&site, "r1").is_empty());
-        assert_eq!(ask(&site, &call("GET", "safe", "r2")).await.status.as_u16(), 200);
+        assert_eq!(call_first_host(&site, &call("GET", "safe", "r2")).await.status.as_u16(), 200);
         site.store.set_fault(StoreFault::None);
         while !site.hosts[0].host.is_ready() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        let reply = ask(&site, &keyed_call("GET", "once", "r3", HANBIT)).await;
+        let reply = call_first_host(&site, &keyed_call("GET", "once", "r3", HANBIT)).await;
         assert_eq!(reply.status.as_u16(), 200);
     });
 }
@@ -141,7 +141,7 @@
 fn limit_holds_over_all_hosts() {
     runtime().block_on(async {
         let site = keyed_site(2).await;
-        let first = ask(&site, &keyed_call("POST", "stream", "r1", MOONBOOK)).await;
+        let first = call_first_host(&site, &keyed_call("POST", "stream", "r1", MOONBOOK)).await;
         assert_eq!((first.status.as_u16(), first.complete), (200, true));
         for (place, gateway) in site.hosts.iter().enumerate() {
             let id = format!("over-{place}");
@@ -151,7 +151,7 @@
             assert!(reply.header("retry-after").parse::<f64>().expect("seconds") > 1.0);
             assert!(engine_runs(&site, &id).is_empty());
         }
-        let other = ask(&site, &keyed_call("POST", "stream", "r2", HANBIT)).await;
+        let other = call_first_host(&site, &keyed_call("POST", "stream", "r2", HANBIT)).await;
         assert_eq!(other.status.as_u16(), 200);
     });
 }
@@ -165,14 +165,14 @@
         }
         for place in 0..3 {
             let call = keyed_call("POST", "stream", &format!("full-{place}"), MOONBOOK);
-            assert_eq!(ask(&site, &call).await.status.as_u16(), 503);
+            assert_eq!(call_first_host(&site, &call).await.status.as_u16(), 503);
             // What was given back is told within half a second.
             tokio::time::sleep(Duration::from_millis(800)).await;
         }
         for engine in &site.decodes {
             engine.set_fault(EngineFault::None);
         }
-        let reply = ask(&site, &keyed_call("POST", "stream", "r1", MOONBOOK)).await;
+        let reply = call_first_host(&site, &keyed_call("POST", "stream", "r1", MOONBOOK)).await;
         assert_eq!(reply.status.as_u16(), 200);
     });
 }
--- a/tests/limited_calls.rs
+++ b/tests/limited_calls.rs
@@ -9,7 +9,7 @@
 
 mod site_common;
 
-use site_common::{ask, call, engine_runs, runtime, settled};
+use site_common::{call, call_first_host, engine_runs, runtime, wait_released};
 
 const LOOK: Duration = Duration::from_millis(5);
 /// One request in twenty seconds: longer than a case takes.
@@ -23,7 +23,7 @@
 async fn ask_many(site: &TestSite, route: &str, name: &str, count: usize) -> Vec<u16> {
     let mut statuses = Vec::new();
     for serial in 0..count {
-        let reply = ask(site, &call("POST", route, &format!("{name}-{serial}"))).await;
+        let reply = call_first_host(site, &call("POST", route, &format!("{name}-{serial}"))).await;
         statuses.push(reply.status.as_u16());
     }
     statuses
@@ -34,7 +34,7 @@
     let mut serial = 0;
     while site.hosts[0].host.state().sends.book.limited().next().is_none() {
         serial += 1;
-        drop(ask(site, &call("POST", route, &format!("first-{serial}"))).await);
+        drop(call_first_host(site, &call("POST", route, &format!("first-{serial}"))).await);
     }
 }
 
@@ -65,7 +65,7 @@
         let mut told = Vec::new();
         for serial in 0..12 {
             let id = format!("r-{serial}");
-            let reply = ask(&site, &call("POST", "once", &id)).await;
+            let reply = call_first_host(&site, &call("POST", "once", &id)).await;
             if reply.status.is_success() {
                 continue;
             }
@@ -90,12 +90,12 @@
         site.decodes[1].arrivals.set(LimitSpeech::of(LOW_LIMIT));
         let statuses = ask_many(&site, "stream", "s", 8).await;
         assert!(statuses.iter().filter(|status| **status == 503).count() >= 5, "{statuses:?}");
-        let reply = ask(&site, &call("POST", "stream", "last")).await;
+        let reply = call_first_host(&site, &call("POST", "stream", "last")).await;
         if reply.status.as_u16() == 503 {
             assert!(comes_back_in(&reply) > 0.0);
             assert_eq!(engine_runs(&site, "last").len(), 0);
         }
-        settled(&site).await;
+        wait_released(&site).await;
     });
 }
 
@@ -171,7 +171,7 @@
         let mut serial = 0;
         while site.hosts[0].host.state().sends.book.limited().next().is_some() {
             serial += 1;
-            drop(ask(&site, &call("POST", "once", &format!("b-{serial}"))).await);
+            drop(call_first_host(&site, &call("POST", "once", &format!("b-{serial}"))).await);
             tokio::time::sleep(LOOK).await;
         }
         assert_eq!(ask_many(&site, "once", "r", 60).await, vec![200; 60]);
--- a/tests/server_lives.rs
+++ b/tests/server_lives.rs
@@ -10,7 +10,7 @@
 
 mod site_common;
 
-use site_common::{ask, call, engine_runs, runtime, settled};
+use site_common::{call, call_first_host, engine_runs, runtime, wait_released};
 
 const LOOK: Duration = Duration::from_millis(5);
 /// A load that makes another server the better choice, and one far above that.
@@ -62,7 +62,7 @@
             host.state().health.entry(key).or_default().note_silence(now);
         }
         restart(&site, "i-service-0", place).await;
-        let reply = ask(&site, &call("GET", "safe", "r1")).await;
+        let reply = call_first_host(&site, &call("GET", "safe", "r1")).await;
         assert_eq!(reply.status, 200);
         assert_eq!(site.services[0].runs(), ["r1"]);
     });
@@ -79,10 +79,10 @@
             site.hosts[0].host.state().board.add(key, load);
         }
         restart(&site, "i-decode-0", RestartPlace::Same).await;
-        let reply = ask(&site, &call("POST", "stream", "r1")).await;
+        let reply = call_first_host(&site, &call("POST", "stream", "r1")).await;
         assert_eq!(reply.status, 200);
         assert_eq!(site.decodes[0].runs().len(), 1, "it was not chosen");
-        settled(&site).await;
+        wait_released(&site).await;
     });
 }
 
@@ -102,12 +102,12 @@
         }
         restart(&site, "i-prefill-0", RestartPlace::Same).await;
         restart(&site, "i-decode-0", RestartPlace::Same).await;
-        let reply = ask(&site, &call("POST", "stream", "r1")).await;
+        let reply = call_first_host(&site, &call("POST", "stream", "r1")).await;
         assert_eq!(reply.status, 200);
         let stages: Vec<String> =
             engine_runs(&site, "r1").into_iter().map(|run| run.stage).collect();
         assert_eq!(stages, ["prefill", "decode"]);
-        settled(&site).await;
+        wait_released(&site).await;
     });
 }
 
@@ -129,12 +129,12 @@
             tokio::time::sleep(Duration::from_millis(100)).await;
             restart(&site, "i-decode-0", place).await;
         };
-        let (reply, ()) = tokio::join!(ask(&site, &resumed), crash);
+        let (reply, ()) = tokio::join!(call_first_host(&site, &resumed), crash);
         assert_eq!((reply.status.as_u16(), reply.complete), (200, true));
         assert_eq!(reply.events(), (0..8).collect::<Vec<u64>>());
         let after: Vec<Option<u64>> = site.decodes[0].runs().iter().map(|run| run.after).collect();
         assert_eq!(after, [None, Some(2)]);
-        settled(&site).await;
+        wait_released(&site).await;
     });
 }
 
@@ -154,11 +154,11 @@
             restart(&site, "i-decode-0", RestartPlace::Same).await;
             restart(&site, "i-prefill-0", RestartPlace::Same).await;
         };
-        let (reply, ()) = tokio::join!(ask(&site, &slow), back);
+        let (reply, ()) = tokio::join!(call_first_host(&site, &slow), back);
         assert_eq!((reply.status.as_u16(), reply.complete), (200, true));
         let held: Vec<bool> = engine_runs(&site, "r1").iter().map(|run| run.held).collect();
         assert_eq!(held, [true], "its hold was not one of this life");
-        settled(&site).await;
+        wait_released(&site).await;
     });
 }
 
@@ -181,7 +181,7 @@
             tokio::time::sleep(LOOK).await;
         }
         assert_eq!(find(&host.state().fleet, "i-service-0"), known);
-        let reply = ask(&site, &call("GET", "safe", "r1")).await;
+        let reply = call_first_host(&site, &call("GET", "safe", "r1")).await;
         assert_eq!(reply.status, 200);
     });
 }
--- a/tests/shared_repeats.rs
+++ b/tests/shared_repeats.rs
@@ -6,7 +6,7 @@
 
 mod site_common;
 
-use site_common::{ask, call, runtime};
+use site_common::{call, call_first_host, runtime};
 
 /// An even share of it is an eighth of a repeat, or less.
 const SLACK: f64 = 5.0;
@@ -29,7 +29,7 @@
 
 /// How often a request ran.
 async fn runs_of(site: &TestSite, id: &str) -> usize {
-    let reply = ask(site, &call("GET", "safe", id)).await;
+    let reply = call_first_host(site, &call("GET", "safe", id)).await;
     assert_eq!(reply.status.as_u16(), 500);
     let runs = site.services.iter().flat_map(|service| service.runs());
     runs.filter(|run| run == id).count()
--- a/tests/site_common/mod.rs
+++ b/tests/site_common/mod.rs
@@ -27,7 +27,7 @@
 }
 
 /// Sends a request to the first daemon.
-pub async fn ask(site: &TestSite, call: &SiteCall) -> CallerReply {
+pub async fn call_first_host(site: &TestSite, call: &SiteCall) -> CallerReply {
     call_site(site.hosts[0].callers, call).await.expect("an answer")
 }
 
@@ -38,7 +38,7 @@
 }
 
 /// Waits until no engine keeps anything for a request.
-pub async fn settled(site: &TestSite) {
+pub async fn wait_released(site: &TestSite) {
     let kept = || {
         let holds: usize = site.decodes.iter().map(|engine| engine.open_holds()).sum();
         let handles: usize = site.prefills.iter().map(|engine| engine.open_handles()).sum();
