--- a/src/bench/worlds/member_world.rs
+++ b/src/bench/worlds/member_world.rs
@@ -2,7 +2,7 @@
 use crate::intents::{ClusterConfig, ConfigKeeper};
 use crate::keys::{IncarnationId, NameKey, TimePoint};
 use crate::membership::{
-    MemberState, MemberTable, MemberUpdate, ProbeMessage, TableOrder, ViewMark,
+    MemberState, MemberTable, MemberUpdate, ProbeMessage, TableAction, ViewMark,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -132,7 +132,7 @@
         }
         let view = ViewMark { config_version: after, fleet_revision: 0 };
         self.hosts[place].table.set_view(view);
-        let orders = self.hosts[place].table.push_news(3, 1);
+        let orders = self.hosts[place].table.push_updates(3, 1);
         self.carry_out(place, orders);
     }
 
@@ -174,11 +174,11 @@
         left != right && self.cut.is_some_and(|cut| cut == left || cut == right)
     }
 
-    fn carry_out(&mut self, place: usize, orders: Vec<TableOrder>) {
+    fn carry_out(&mut self, place: usize, orders: Vec<TableAction>) {
         for order in orders {
             match order {
-                TableOrder::Send(to, message) => self.send(place, to, message),
-                TableOrder::FetchView(from) => {
+                TableAction::Send(to, message) => self.send(place, to, message),
+                TableAction::FetchView(from) => {
                     let source = self.hosts.iter().position(|host| host.address == from);
                     let Some(source) = source.filter(|s| self.hosts[*s].alive) else { continue };
                     if !self.is_cut(place, source) {
@@ -186,8 +186,8 @@
                         self.fetch(place, version);
                     }
                 }
-                TableOrder::Compare(with) => self.compare(place, with),
-                TableOrder::Died(_) => {}
+                TableAction::Compare(with) => self.compare(place, with),
+                TableAction::Died(_) => {}
             }
         }
     }
@@ -201,7 +201,7 @@
             return;
         }
         let (ours, theirs) =
-            (self.hosts[place].table.full_news(), self.hosts[other].table.full_news());
+            (self.hosts[place].table.all_updates(), self.hosts[other].table.all_updates());
         self.hosts[place].table.merge_all(self.now, &theirs);
         self.hosts[other].table.merge_all(self.now, &ours);
     }
--- a/src/fleet/fleet_view.rs
+++ b/src/fleet/fleet_view.rs
@@ -1,6 +1,7 @@
 use super::server_records::{FleetRecord, ServerRecords};
 use super::{
-    FleetChange, FleetNews, LifeChange, ServerEntry, ServerNews, ServerStage, ServerState,
+    FleetChange, FleetUpdate, IncarnationChange, ServerEntry, ServerStage, ServerState,
+    ServerUpdate,
 };
 use crate::keys::{IdKey, ServerKey, TimePoint};
 use crate::routes::ServiceKey;
@@ -41,7 +42,7 @@
 
     /// The store answered some host `age` ago. Only a time in which it answered nobody is an outage:
     /// while it turns some hosts away, the servers reach it and their entries do not lapse.
-    pub fn note_store_heard(&mut self, now: TimePoint, age: Duration) {
+    pub fn record_store_answer(&mut self, now: TimePoint, age: Duration) {
         let heard_at = now - age;
         if heard_at <= self.store_heard_at {
             return;
@@ -64,13 +65,13 @@
         now: TimePoint,
         revision: u64,
         entries: Vec<ServerEntry>,
-    ) -> Vec<LifeChange> {
+    ) -> Vec<IncarnationChange> {
         if revision < self.revision {
             return Vec::new();
         }
         let listed: BTreeSet<IdKey> = entries.iter().map(ServerEntry::id_key).collect();
         let missing = self.records.ids(|record| !listed.contains(&record.entry.id_key()));
-        self.go_on_to(revision);
+        self.advance_to(revision);
         for id in missing {
             self.remove(now, id);
         }
@@ -84,23 +85,23 @@
         now: TimePoint,
         revision: u64,
         changes: Vec<FleetChange>,
-    ) -> Vec<LifeChange> {
+    ) -> Vec<IncarnationChange> {
         if revision < self.revision {
             return Vec::new();
         }
-        self.go_on_to(revision);
+        self.advance_to(revision);
         let mut lives = Vec::new();
         for change in changes {
             match change {
-                FleetChange::Stated(entry) => lives.extend(self.state(now, entry)),
+                FleetChange::Updated(entry) => lives.extend(self.state(now, entry)),
                 FleetChange::Removed(id) => self.remove(now, id),
-                FleetChange::Unusable(id) => self.drop_now(id),
+                FleetChange::Unusable(id) => self.remove_now(id),
             }
         }
         lives
     }
 
-    fn go_on_to(&mut self, revision: u64) {
+    fn advance_to(&mut self, revision: u64) {
         if self.revision == 0 {
             self.known_since = revision;
         }
@@ -111,19 +112,19 @@
     /// if they are no longer known one by one.
     ///
     /// Whole views at each change were 24 KB for 266 servers and 270 KB for 3,000, to every host.
-    pub fn news_since(&self, now: TimePoint, since: u64) -> FleetNews {
+    pub fn update_since(&self, now: TimePoint, since: u64) -> FleetUpdate {
         let is_partial = since > 0 && since >= self.known_since;
         let after = if is_partial { since } else { 0 };
         let left = |at: TimePoint| u64::try_from(at.since(now).as_millis()).unwrap_or(u64::MAX);
-        let tell = |record: &FleetRecord| ServerNews {
+        let tell = |record: &FleetRecord| ServerUpdate {
             entry: record.entry.clone(),
             changed_at: record.changed_at,
-            lapses_in_ms: record.lapses_at.map(left),
+            expires_in_ms: record.lapses_at.map(left),
             cold_left_ms: record.cold_until.map_or(0, |until| cold_left_ms(now, until)),
         };
         let changed = self.records.iter().filter(|record| record.changed_at > after);
         let removed = self.removed.iter().filter(|(_, at)| is_partial && **at > after);
-        FleetNews {
+        FleetUpdate {
             revision: self.revision,
             is_partial,
             servers: changed.map(tell).collect(),
@@ -133,23 +134,23 @@
 
     /// Takes over what another host told, if it is newer. Returns which servers in it have another life
     /// than the known one.
-    pub fn adopt(&mut self, now: TimePoint, news: FleetNews) -> Vec<LifeChange> {
+    pub fn apply_update(&mut self, now: TimePoint, news: FleetUpdate) -> Vec<IncarnationChange> {
         if news.revision <= self.revision {
             return Vec::new();
         }
         self.revision = news.revision;
         if !news.is_partial {
-            self.forget_untold(&news);
+            self.remove_unlisted(&news);
         }
         for (id, at) in news.removed {
             self.records.remove(id);
-            self.note_removed(id, at);
+            self.record_removal(id, at);
         }
-        news.servers.into_iter().filter_map(|server| self.adopt_server(now, server)).collect()
+        news.servers.into_iter().filter_map(|server| self.apply_server(now, server)).collect()
     }
 
     /// Forgets what a whole view lacks.
-    fn forget_untold(&mut self, news: &FleetNews) {
+    fn remove_unlisted(&mut self, news: &FleetUpdate) {
         let told: BTreeSet<IdKey> =
             news.servers.iter().map(|server| server.entry.id_key()).collect();
         for id in self.records.ids(|record| !told.contains(&record.entry.id_key())) {
@@ -159,12 +160,12 @@
         self.known_since = news.revision;
     }
 
-    fn adopt_server(&mut self, now: TimePoint, server: ServerNews) -> Option<LifeChange> {
+    fn apply_server(&mut self, now: TimePoint, server: ServerUpdate) -> Option<IncarnationChange> {
         let cold_until = cold_until(now, server.cold_left_ms);
         self.put(FleetRecord {
             entry: server.entry,
             changed_at: server.changed_at,
-            lapses_at: server.lapses_in_ms.map(|millis| now + Duration::from_millis(millis)),
+            lapses_at: server.expires_in_ms.map(|millis| now + Duration::from_millis(millis)),
             cold_until,
         })
     }
@@ -175,7 +176,7 @@
         let mut dropped = Vec::new();
         for id in due {
             if let Some(record) = self.records.remove(id) {
-                self.note_removed(id, record.changed_at);
+                self.record_removal(id, record.changed_at);
                 dropped.push(record.entry);
             }
         }
@@ -211,7 +212,7 @@
     /// the chosen life did.
     pub fn has_restarted(&self, chosen: &ServerEntry) -> bool {
         let known = self.records.get(chosen.id_key());
-        known.is_some_and(|record| record.entry.born != chosen.born)
+        known.is_some_and(|record| record.entry.started_at != chosen.started_at)
     }
 
     /// Servers that are cold, and until when.
@@ -226,7 +227,7 @@
     }
 
     /// Takes over an entry; one that says nothing new is no change to tell.
-    fn state(&mut self, now: TimePoint, entry: ServerEntry) -> Option<LifeChange> {
+    fn state(&mut self, now: TimePoint, entry: ServerEntry) -> Option<IncarnationChange> {
         let known = self.records.get(entry.id_key());
         if known.is_some_and(|record| record.entry == entry && record.lapses_at.is_none()) {
             return None;
@@ -236,11 +237,11 @@
     }
 
     /// Takes over a record, unless it is of an earlier life than the known one.
-    fn put(&mut self, record: FleetRecord) -> Option<LifeChange> {
+    fn put(&mut self, record: FleetRecord) -> Option<IncarnationChange> {
         let id = record.entry.id_key();
         let known = self.records.get(id);
-        let life = known.and_then(|known| LifeChange::between(&known.entry, &record.entry));
-        if life.as_ref().is_some_and(LifeChange::is_outdated) {
+        let life = known.and_then(|known| IncarnationChange::between(&known.entry, &record.entry));
+        if life.as_ref().is_some_and(IncarnationChange::is_outdated) {
             return life;
         }
         self.removed.remove(&id);
@@ -261,17 +262,17 @@
                 record.changed_at = revision;
                 self.records.insert(record);
             }
-            None => self.note_removed(id, revision),
+            None => self.record_removal(id, revision),
         }
     }
 
-    fn drop_now(&mut self, id: IdKey) {
+    fn remove_now(&mut self, id: IdKey) {
         if self.records.remove(id).is_some() {
-            self.note_removed(id, self.revision);
+            self.record_removal(id, self.revision);
         }
     }
 
-    fn note_removed(&mut self, id: IdKey, revision: u64) {
+    fn record_removal(&mut self, id: IdKey, revision: u64) {
         self.removed.insert(id, revision);
         if self.removed.len() <= REMOVALS_KEPT {
             return;
--- a/src/fleet/life_change.rs
+++ b/src/fleet/incarnation_change.rs
@@ -4,7 +4,7 @@
 
 /// What becomes of the known life of a server when news name another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LifeOutcome {
+pub enum IncarnationOutcome {
     /// The server has started again: the known life is over.
     Restarted,
     /// The news are of an earlier life and change nothing.
@@ -13,39 +13,39 @@
 
 /// News of a server that name another life than the known one.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LifeChange {
+pub struct IncarnationChange {
     /// Id of the server.
     pub id: String,
     /// The life that was known.
     pub known: ServerKey,
     /// Unix millisecond at which it began.
-    pub known_born: Option<u64>,
+    pub known_started_at: Option<u64>,
     /// The same of the life in the news.
-    pub told_born: Option<u64>,
+    pub received_started_at: Option<u64>,
     /// What follows.
-    pub outcome: LifeOutcome,
+    pub outcome: IncarnationOutcome,
 }
 
-impl LifeChange {
+impl IncarnationChange {
     /// Compares the known life with one in the news; `None` if they are the same. A life that does not
     /// say when it began is earlier than any that does.
     pub(super) fn between(known: &ServerEntry, told: &ServerEntry) -> Option<Self> {
-        let outcome = match told.born.cmp(&known.born) {
+        let outcome = match told.started_at.cmp(&known.started_at) {
             Ordering::Equal => return None,
-            Ordering::Greater => LifeOutcome::Restarted,
-            Ordering::Less => LifeOutcome::Outdated,
+            Ordering::Greater => IncarnationOutcome::Restarted,
+            Ordering::Less => IncarnationOutcome::Outdated,
         };
         Some(Self {
             id: told.id.clone(),
             known: known.key(),
-            known_born: known.born,
-            told_born: told.born,
+            known_started_at: known.started_at,
+            received_started_at: told.started_at,
             outcome,
         })
     }
 
     /// Whether the news change nothing.
     pub fn is_outdated(&self) -> bool {
-        self.outcome == LifeOutcome::Outdated
+        self.outcome == IncarnationOutcome::Outdated
     }
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -2,23 +2,23 @@
 //! passed in.
 //!
 //! Inputs are entries of the platform's store, read or watched, and outages of the store; the
-//! output is the list of servers that may get new work. `watch_duty` says who asks the store.
+//! output is the list of servers that may get new work. `watcher_role` says who asks the store.
 
-mod fleet_news;
+mod fleet_update;
 mod fleet_view;
-mod life_change;
+mod incarnation_change;
 mod refused_hosts;
 mod server_entry;
 mod server_records;
 mod stage_changes;
 mod view_freshness;
-mod watch_duty;
+mod watcher_role;
 
-pub use fleet_news::{FleetChange, FleetNews, ServerNews};
+pub use fleet_update::{FleetChange, FleetUpdate, ServerUpdate};
 pub use fleet_view::FleetView;
-pub use life_change::{LifeChange, LifeOutcome};
+pub use incarnation_change::{IncarnationChange, IncarnationOutcome};
 pub use refused_hosts::RefusedHosts;
 pub use server_entry::{ServerEntry, ServerStage, ServerState};
 pub use stage_changes::StageChanges;
 pub use view_freshness::ViewFreshness;
-pub use watch_duty::{DutyView, WatchDuty, stretched, watch_duty};
+pub use watcher_role::{RoleInput, WatcherRole, scaled_interval, watcher_role};
--- a/src/fleet/refused_hosts.rs
+++ b/src/fleet/refused_hosts.rs
@@ -16,24 +16,24 @@
 /// when a host is elected for work that needs the store.
 #[derive(Debug, Clone, Default)]
 pub struct RefusedHosts {
-    heard: HashMap<IncarnationId, TimePoint>,
+    refused_at: HashMap<IncarnationId, TimePoint>,
 }
 
 impl RefusedHosts {
     /// A host said whether the store refuses it; true if that is new.
-    pub fn note(&mut self, now: TimePoint, host: IncarnationId, refused: bool) -> bool {
+    pub fn record(&mut self, now: TimePoint, host: IncarnationId, refused: bool) -> bool {
         let before = self.is_refused(now, host);
         if refused {
-            self.heard.insert(host, now);
+            self.refused_at.insert(host, now);
         } else {
-            self.heard.remove(&host);
+            self.refused_at.remove(&host);
         }
         before != refused
     }
 
     /// Whether a host lately said that the store refuses it.
     pub fn is_refused(&self, now: TimePoint, host: IncarnationId) -> bool {
-        self.heard.get(&host).is_some_and(|at| now.since(*at) < NEWS_LIFE)
+        self.refused_at.get(&host).is_some_and(|at| now.since(*at) < NEWS_LIFE)
     }
 
     /// The host elected for work that needs the store: of the oldest few candidates the first that
@@ -52,19 +52,19 @@
     }
 
     /// The hosts that come before `own` in an office and that the store is not known to refuse.
-    pub fn before(
+    pub fn predecessors(
         &self,
         now: TimePoint,
         own: IncarnationId,
         candidates: impl Iterator<Item = IncarnationId>,
     ) -> Vec<IncarnationId> {
-        let mut others = Self::beside(own, candidates);
+        let mut others = Self::other_candidates(own, candidates);
         others.retain(|host| *host < own && !self.is_refused(now, *host));
         others
     }
 
     /// The other hosts that are tried in an office, if `own` is one of them.
-    pub fn beside(
+    pub fn other_candidates(
         own: IncarnationId,
         candidates: impl Iterator<Item = IncarnationId>,
     ) -> Vec<IncarnationId> {
@@ -79,7 +79,7 @@
 
     /// Forgets news that nobody repeats.
     pub fn expire(&mut self, now: TimePoint) {
-        self.heard.retain(|_, at| now.since(*at) < NEWS_LIFE);
+        self.refused_at.retain(|_, at| now.since(*at) < NEWS_LIFE);
     }
 }
 
--- a/src/fleet/server_entry.rs
+++ b/src/fleet/server_entry.rs
@@ -46,7 +46,7 @@
     /// Its id, which it keeps when it starts again.
     pub id: String,
     /// Unix millisecond at which this life of it began; servers of older platforms do not say.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
     /// The service that it runs.
     pub service: ServiceKey,
     /// Where it listens.
@@ -67,7 +67,7 @@
     /// Key of this life of the server; that of its id, if it does not say when it started.
     pub fn key(&self) -> ServerKey {
         let id = self.id_key();
-        self.born.map_or(id, |born| NameKey(mix_hash(id.0, born)))
+        self.started_at.map_or(id, |started_at| NameKey(mix_hash(id.0, started_at)))
     }
 
     /// Key of the server's id, whichever life it is in.
--- a/src/fleet/stage_changes.rs
+++ b/src/fleet/stage_changes.rs
@@ -18,29 +18,29 @@
 #[derive(Debug, Clone, Default)]
 pub struct StageChanges {
     ordered: HashMap<ServerKey, ServerStage>,
-    heard: HashMap<ServerKey, (ServerStage, TimePoint)>,
+    announced: HashMap<ServerKey, (ServerStage, TimePoint)>,
     suspected: HashMap<ServerKey, TimePoint>,
 }
 
 impl StageChanges {
     /// This host ordered a change, and the engine took the order.
-    pub fn note_ordered(&mut self, key: ServerKey, to: ServerStage) {
+    pub fn record_order(&mut self, key: ServerKey, to: ServerStage) {
         self.ordered.insert(key, to);
     }
 
     /// Keeps only those own orders that are `open`.
-    pub fn retain_ordered(&mut self, open: impl Fn(ServerKey) -> bool) {
+    pub fn retain_orders(&mut self, open: impl Fn(ServerKey) -> bool) {
         self.ordered.retain(|key, _| open(*key));
     }
 
     /// An engine turned work of its stage away: it seems to change.
-    pub fn note_suspected(&mut self, now: TimePoint, key: ServerKey) {
+    pub fn record_suspicion(&mut self, now: TimePoint, key: ServerKey) {
         self.suspected.insert(key, now);
     }
 
     /// Another host said that it ordered an engine to change to `to`.
-    pub fn note_heard(&mut self, now: TimePoint, key: ServerKey, to: ServerStage) {
-        self.heard.insert(key, (to, now));
+    pub fn record_announcement(&mut self, now: TimePoint, key: ServerKey, to: ServerStage) {
+        self.announced.insert(key, (to, now));
     }
 
     /// Engines that this host ordered to change and that have not done so, to tell the others.
@@ -49,8 +49,8 @@
     }
 
     /// Changes under way that other hosts ordered, as last heard.
-    pub fn heard(&self, now: TimePoint) -> impl Iterator<Item = (ServerKey, ServerStage)> {
-        self.heard
+    pub fn announced(&self, now: TimePoint) -> impl Iterator<Item = (ServerKey, ServerStage)> {
+        self.announced
             .iter()
             .filter(move |(_, (_, at))| now.since(*at) < NEWS_LIFE)
             .map(|(key, (to, _))| (*key, *to))
@@ -63,14 +63,14 @@
             now.since(*at) < NEWS_LIFE && server.stage != Some(*to)
         };
         let is_suspected = |at: &TimePoint| now.since(*at) < SUSPICION_LIFE;
-        self.heard.get(&key).is_some_and(is_heard)
+        self.announced.get(&key).is_some_and(is_heard)
             || self.suspected.get(&key).is_some_and(is_suspected)
             || self.ordered.contains_key(&key)
     }
 
     /// Forgets news that nobody repeats.
     pub fn expire(&mut self, now: TimePoint) {
-        self.heard.retain(|_, (_, at)| now.since(*at) < NEWS_LIFE);
+        self.announced.retain(|_, (_, at)| now.since(*at) < NEWS_LIFE);
         self.suspected.retain(|_, at| now.since(*at) < SUSPICION_LIFE);
     }
 }
--- a/src/fleet/view_freshness.rs
+++ b/src/fleet/view_freshness.rs
@@ -28,7 +28,7 @@
     /// The store answered this host's own question: up to `at` and its `revision` all that it told is held.
     ///
     /// What others have beyond that must be heard anew.
-    pub fn note_complete(&mut self, at: TimePoint, revision: u64) {
+    pub fn record_complete(&mut self, at: TimePoint, revision: u64) {
         self.complete_at = self.complete_at.max(at);
         self.own_answer_at = self.own_answer_at.max(at);
         self.reached = self.reached.max(revision);
@@ -36,14 +36,14 @@
     }
 
     /// Another host holds the revision `heard`, and this one `own`.
-    pub fn hear(&mut self, now: TimePoint, own: u64, heard: u64) {
+    pub fn apply_revision(&mut self, now: TimePoint, own: u64, heard: u64) {
         if self.behind_for(now, own).is_none() {
             self.behind = (own.max(self.reached) < heard).then_some((heard, now));
         }
     }
 
     /// Another host's view, of revision `heard`, lacked nothing `age` ago; so did this one's if it holds as much.
-    pub fn hear_age(&mut self, now: TimePoint, own: u64, heard: u64, age: Duration) {
+    pub fn apply_age(&mut self, now: TimePoint, own: u64, heard: u64, age: Duration) {
         let own = own.max(self.reached);
         self.told_answer_at = self.told_answer_at.max(now - age);
         self.complete_at = self.complete_since(own);
--- a/src/fleet/watch_duty.rs
+++ b/src/fleet/watcher_role.rs
@@ -60,32 +60,32 @@
 
 /// Whether a host asks the store itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WatchDuty {
+pub enum WatcherRole {
     /// It watches for its failure domain, or has no view and heard of none.
     Watch,
     /// It asks because nobody else is heard or seems to be answered, because it cannot get from others what they have,
     /// or to learn whether it is answered again.
-    Doubt,
+    Poll,
     /// It hears changes from others.
-    Hear,
+    Follow,
 }
 
-impl WatchDuty {
+impl WatcherRole {
     /// As logs say it.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Watch => "watch",
-            Self::Doubt => "doubt",
-            Self::Hear => "hear",
+            Self::Poll => "doubt",
+            Self::Follow => "hear",
         }
     }
 }
 
 /// What the duty depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct DutyView {
+pub struct RoleInput {
     /// Time since the host's start, as long as it has no view.
-    pub uninformed_for: Option<Duration>,
+    pub without_view_for: Option<Duration>,
     /// It has seeds and has met no other host.
     pub is_alone: bool,
     /// Time since something last came of a view that another host is handing over, if one is.
@@ -94,7 +94,7 @@
     pub elected: bool,
     /// Time since the store answered its own last call, if it refuses the watcher, or if the host had asked in doubt and
     /// heard neither the watcher nor of a newer answer since.
-    pub answered_for: Option<Duration>,
+    pub store_answered_for: Option<Duration>,
     /// Time since the view was last known to lack nothing, by an answer of the store to this host or to one that had
     /// no newer view.
     pub view_age: Duration,
@@ -102,56 +102,56 @@
     pub behind_for: Option<Duration>,
     /// Time since it heard anything of the hosts that would tell it of news, if there are others: the one that watches, for
     /// those that are next in that office, and any other host for the rest.
-    pub unheard_for: Option<Duration>,
+    pub silent_for: Option<Duration>,
     /// How old its configuration may be, if keys of callers depend on that.
     pub config_age: Option<Duration>,
     /// Time since its own last call, if that was refused or not answered.
-    pub refused_for: Option<Duration>,
+    pub store_refused_for: Option<Duration>,
     /// Hosts of its failure domain, as far as it knows, itself included.
     pub domain_hosts: usize,
     /// Differs between hosts.
     pub salt: u64,
 }
 
-impl DutyView {
+impl RoleInput {
     /// Whether the host does not hear those that would tell it of news, or cannot get from them what they have.
-    pub fn lacks_news(&self) -> bool {
+    pub fn lacks_updates(&self) -> bool {
         let patience = BEHIND_LIMIT + part_of(BEHIND_SPREAD, self.salt);
-        self.unheard_for.is_some_and(|time| time >= UNHEARD_LIMIT)
+        self.silent_for.is_some_and(|time| time >= UNHEARD_LIMIT)
             || self.behind_for.is_some_and(|time| time > patience)
     }
 }
 
 /// Decides who watches: one host a failure domain among those that the store answers, and any host whose watcher
 /// seems cut off, that hears no other host or that cannot get from others what they have.
-pub fn watch_duty(view: &DutyView) -> WatchDuty {
-    if let Some(time) = view.uninformed_for {
-        let spread = stretched(LISTING_SPREAD, view.domain_hosts);
+pub fn watcher_role(view: &RoleInput) -> WatcherRole {
+    if let Some(time) = view.without_view_for {
+        let spread = scaled_interval(LISTING_SPREAD, view.domain_hosts);
         let others = if view.is_alone { SEED_WAIT } else { NEIGHBOUR_WAIT };
         let wait = others + part_of(spread, view.salt);
         let is_moving = view.handover_idle.is_some_and(|idle| idle < HANDOVER_PAUSE);
         let is_served = is_moving && time < LONGEST_HANDOVER;
-        return if time >= wait && !is_served { WatchDuty::Watch } else { WatchDuty::Hear };
+        return if time >= wait && !is_served { WatcherRole::Watch } else { WatcherRole::Follow };
     }
-    if view.elected || view.answered_for.is_some_and(|time| time < STAND_IN_TIME) {
-        return WatchDuty::Watch;
+    if view.elected || view.store_answered_for.is_some_and(|time| time < STAND_IN_TIME) {
+        return WatcherRole::Watch;
     }
-    let asks = match view.refused_for {
-        Some(time) if view.lacks_news() => time >= LACKING_PAUSE,
-        Some(time) => time >= stretched(REFUSED_PAUSE, view.domain_hosts),
+    let asks = match view.store_refused_for {
+        Some(time) if view.lacks_updates() => time >= LACKING_PAUSE,
+        Some(time) => time >= scaled_interval(REFUSED_PAUSE, view.domain_hosts),
         None => {
-            let spread = stretched(DOUBT_SPREAD, view.domain_hosts);
+            let spread = scaled_interval(DOUBT_SPREAD, view.domain_hosts);
             let unsure = UNSURE_AGE + part_of(UNSURE_SPREAD, view.salt);
-            view.lacks_news()
+            view.lacks_updates()
                 || view.view_age > DOUBT_AGE + part_of(spread, view.salt)
                 || view.config_age.is_some_and(|age| age > unsure)
         }
     };
-    if asks { WatchDuty::Doubt } else { WatchDuty::Hear }
+    if asks { WatcherRole::Poll } else { WatcherRole::Follow }
 }
 
 /// A time between calls of each host, stretched so that a large domain calls no more often.
-pub fn stretched(time: Duration, domain_hosts: usize) -> Duration {
+pub fn scaled_interval(time: Duration, domain_hosts: usize) -> Duration {
     time.mul_f64((domain_hosts as f64 / ASKING_HOSTS as f64).max(1.0))
 }
 
--- a/src/gateway/age_loop.rs
+++ b/src/gateway/age_loop.rs
@@ -5,7 +5,7 @@
 use super::peer_messages::GatewayDatagram;
 use crate::keys::{TimePoint, mix_hash};
 use crate::membership::{MemberUpdate, ViewMark};
-use crate::organisations::{AgeAnswer, AgeQuestion};
+use crate::organisations::{AgeReply, AgeRequest};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -40,8 +40,8 @@
     pub(super) fn ask_ages(&self) {
         let now = self.now();
         for address in self.age_targets(now) {
-            let question = self.state().config_age.question(now);
-            self.send(address, &GatewayDatagram::AgeQuestion(question));
+            let question = self.state().config_age.next_request(now);
+            self.send(address, &GatewayDatagram::AgeRequest(question));
         }
     }
 
@@ -49,7 +49,7 @@
         let state = self.state();
         let watcher = state.watcher(now, self.domain()).filter(|host| *host != self.incarnation);
         let watcher = watcher.and_then(|host| state.members.record(host));
-        let in_doubt = state.config_age.is_unanswered(now, ANSWER_LIMIT)
+        let in_doubt = state.config_age.has_unanswered_request(now, ANSWER_LIMIT)
             || state.config_age.age(now) > DOUBT_AGE;
         let mut targets: Vec<MemberUpdate> =
             watcher.map(|record| record.update).into_iter().collect();
@@ -63,26 +63,26 @@
     }
 
     /// Answers another host's question, if this host knows.
-    pub(super) fn answer_age(&self, from: SocketAddr, question: AgeQuestion) {
+    pub(super) fn answer_age(&self, from: SocketAddr, question: AgeRequest) {
         let answer = self.own_age(question);
         if let Some(answer) = answer {
-            self.send(from, &GatewayDatagram::AgeAnswer(answer));
+            self.send(from, &GatewayDatagram::AgeReply(answer));
         }
     }
 
     /// The answer to a question about the age of this host's configuration.
-    pub(super) fn own_age(&self, question: AgeQuestion) -> Option<AgeAnswer> {
+    pub(super) fn own_age(&self, question: AgeRequest) -> Option<AgeReply> {
         let now = self.now();
         let state = self.state();
-        state.config_age.answer(now, question, state.routes.version())
+        state.config_age.reply(now, question, state.routes.version())
     }
 
     /// Takes over an answer; a host that has a newer configuration is asked for it.
-    pub(super) fn hear_age(self: &Arc<Self>, from: SocketAddr, answer: AgeAnswer) {
+    pub(super) fn hear_age(self: &Arc<Self>, from: SocketAddr, answer: AgeReply) {
         let version = {
             let mut state = self.state();
             let version = state.routes.version();
-            state.config_age.hear(answer, version);
+            state.config_age.apply_reply(answer, version);
             version
         };
         if answer.version > version {
@@ -95,7 +95,7 @@
 
     /// The store answered a question that left at `asked_at`: what it did not tell did not happen before.
     pub(super) fn note_config_complete(&self, asked_at: TimePoint) {
-        self.state().config_age.note_complete(asked_at);
+        self.state().config_age.record_complete(asked_at);
         self.age_heard.notify_waiters();
     }
 }
--- a/src/gateway/caller_auth.rs
+++ b/src/gateway/caller_auth.rs
@@ -20,7 +20,7 @@
     digest: Option<KeyDigest>,
 ) -> Result<Option<Arc<Organisation>>, CallEnd> {
     let mut permission = permission_now(host, route, digest);
-    if permission == CallerPermission::AskFirst {
+    if permission == CallerPermission::RefreshFirst {
         // Listens before it asks. All that wait are woken by the first answer; without one they are decided
         // on as it stands.
         let heard = host.age_heard.notified();
@@ -34,7 +34,7 @@
         CallerPermission::UnknownKey => {
             Err(CallEnd::Improper(StatusCode::UNAUTHORIZED, "unknown_key"))
         }
-        CallerPermission::AskFirst | CallerPermission::TooOld => {
+        CallerPermission::RefreshFirst | CallerPermission::ConfigTooOld => {
             Err(refuse(NotRunReason::ConfigTooOld))
         }
     }
--- a/src/gateway/decode_reservation.rs
+++ b/src/gateway/decode_reservation.rs
@@ -132,7 +132,7 @@
 ) -> Option<DecodeReservation> {
     let load = decode_load(context, server);
     context.host.note_server(server, ServerNote::Sent);
-    let held = acquire_hold(&context.host, server, tokens, engine.longest_hold).await;
+    let held = acquire_hold(&context.host, server, tokens, engine.max_hold).await;
     if held.is_ok() {
         context.host.note_server(server, ServerNote::Answered);
     }
--- a/src/gateway/duty_log.rs
+++ b/src/gateway/duty_log.rs
@@ -1,22 +1,22 @@
 use super::store_contact::FollowedKind;
-use crate::fleet::{DutyView, WatchDuty};
+use crate::fleet::{RoleInput, WatcherRole};
 use std::time::Duration;
 
 /// Writes down when this host begins to ask the store for a kind itself or ends doing so, and what it knew then.
 #[derive(Debug)]
 pub(super) struct DutyLog {
     kind: FollowedKind,
-    duty: WatchDuty,
+    duty: WatcherRole,
 }
 
 impl DutyLog {
     /// A host hears of a kind from others until it is told otherwise.
     pub const fn new(kind: FollowedKind) -> Self {
-        Self { kind, duty: WatchDuty::Hear }
+        Self { kind, duty: WatcherRole::Follow }
     }
 
     /// Takes note of what was decided from `view`.
-    pub fn note(&mut self, duty: WatchDuty, view: &DutyView) {
+    pub fn note(&mut self, duty: WatcherRole, view: &RoleInput) {
         if duty == self.duty {
             return;
         }
@@ -27,8 +27,8 @@
             duty.name(),
             view.view_age.as_millis(),
             millis(view.behind_for),
-            millis(view.unheard_for),
-            millis(view.refused_for)
+            millis(view.silent_for),
+            millis(view.store_refused_for)
         );
     }
 }
--- a/src/gateway/gateway_start.rs
+++ b/src/gateway/gateway_start.rs
@@ -86,8 +86,8 @@
         self.stop.send_replace(StopPhase::Leaving);
         let farewell = {
             let mut state = self.state();
-            state.members.leave();
-            state.members.push_news(usize::MAX, usize::MAX)
+            state.members.start_draining();
+            state.members.push_updates(usize::MAX, usize::MAX)
         };
         self.carry_out(farewell);
         log::info!("event=stop_began in_flight={}", self.in_flight.load(Ordering::Relaxed));
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -96,11 +96,11 @@
 
     /// Time since this host heard those that would tell it of news: the hosts that come before it as watchers, if it is one
     /// of the few that are tried, and else any other host.
-    pub fn unheard_for(&self, now: TimePoint) -> Option<Duration> {
+    pub fn silent_for(&self, now: TimePoint) -> Option<Duration> {
         let own = self.members.own();
         let hosts = self.members.owners(own.domain).map(|(_, member)| member.incarnation);
-        let before = self.refused.before(now, own.incarnation, hosts);
-        self.members.unheard_for(now, |host| before.is_empty() || before.contains(&host))
+        let before = self.refused.predecessors(now, own.incarnation, hosts);
+        self.members.silent_for(now, |host| before.is_empty() || before.contains(&host))
     }
 
     /// The other hosts that are tried as watchers, if this is one of them: those that come next listen for it, and all must
@@ -108,7 +108,7 @@
     pub fn fellow_watchers(&self) -> Vec<SocketAddr> {
         let own = self.members.own();
         let hosts = self.members.owners(own.domain).map(|(_, member)| member.incarnation);
-        let beside = RefusedHosts::beside(own.incarnation, hosts);
+        let beside = RefusedHosts::other_candidates(own.incarnation, hosts);
         let known = beside.into_iter().filter_map(|host| self.members.record(host));
         known.map(|record| record.update.address).collect()
     }
--- a/src/gateway/limit_charge.rs
+++ b/src/gateway/limit_charge.rs
@@ -300,7 +300,7 @@
         let own = self.members.own().incarnation;
         let others = self.members.records().filter(|record| record.update.domain == domain);
         self.owner(now, thing, domain) == OwnerChoice::Own
-            && !self.members.was_wronged(since)
+            && !self.members.was_declared_dead(since)
             && has_owned(thing, own, others, since)
     }
 
--- a/src/gateway/load_news.rs
+++ b/src/gateway/load_news.rs
@@ -53,7 +53,7 @@
         {
             let mut state = self.state();
             state.board.hear(now, from, news.version, news.loads.into_iter().collect());
-            state.fleet.note_store_heard(now, heard);
+            state.fleet.record_store_answer(now, heard);
             for (service, sums) in news.work {
                 state.heard_work.insert((from, service), (now, sums));
             }
@@ -68,10 +68,10 @@
     pub(super) fn hear_notice(&self, notice: HostNotice) {
         let now = self.now();
         let mut state = self.state();
-        state.refused.note(now, notice.incarnation, notice.store_refused);
-        state.members.note_heard(now, notice.incarnation);
+        state.refused.record(now, notice.incarnation, notice.store_refused);
+        state.members.record_received(now, notice.incarnation);
         for (key, to) in notice.changing {
-            state.changes.note_heard(now, key, to);
+            state.changes.record_announcement(now, key, to);
         }
     }
 
--- a/src/gateway/peer_loop.rs
+++ b/src/gateway/peer_loop.rs
@@ -3,9 +3,9 @@
 use super::gateway_host::GatewayHost;
 use super::load_news::run_load_news;
 use super::peer_messages::{GatewayDatagram, GatewayReply, GatewayRequest};
-use crate::membership::TableOrder;
+use crate::membership::TableAction;
 use crate::peers::{PeerHandler, open_datagram, seal_datagram};
-use crate::routes::RouteNews;
+use crate::routes::RouteUpdate;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -41,8 +41,8 @@
             }
             Ok(GatewayDatagram::Load(news)) => host.hear_load(address, news),
             Ok(GatewayDatagram::Notice(notice)) => host.hear_notice(notice),
-            Ok(GatewayDatagram::AgeQuestion(question)) => host.answer_age(address, question),
-            Ok(GatewayDatagram::AgeAnswer(answer)) => host.hear_age(address, answer),
+            Ok(GatewayDatagram::AgeRequest(question)) => host.answer_age(address, question),
+            Ok(GatewayDatagram::AgeReply(answer)) => host.hear_age(address, answer),
             Ok(GatewayDatagram::LimitAsk(from, ask)) => {
                 host.receive_limit_request(address, from, &ask)
             }
@@ -99,7 +99,7 @@
     let request = {
         let now = host.now();
         let state = host.state();
-        let (members, crashes) = (state.members.full_news(), state.crashes.whole_report(now));
+        let (members, crashes) = (state.members.all_updates(), state.crashes.whole_report(now));
         GatewayRequest::Sync { members, crashes, limits: state.sends.book.all() }
     };
     let reply = host.peers.call(address, &request, COMPARE_LIMIT).await;
@@ -116,18 +116,18 @@
 
 impl GatewayHost {
     /// Carries out what the membership table wants done.
-    pub(super) fn carry_out(self: &Arc<Self>, orders: Vec<TableOrder>) {
+    pub(super) fn carry_out(self: &Arc<Self>, orders: Vec<TableAction>) {
         for order in orders {
             match order {
-                TableOrder::Send(address, message) => {
+                TableAction::Send(address, message) => {
                     self.send(address, &GatewayDatagram::Probe(message));
                 }
-                TableOrder::FetchView(address) => self.fetch_view(address),
-                TableOrder::Compare(address) => {
+                TableAction::FetchView(address) => self.fetch_view(address),
+                TableAction::Compare(address) => {
                     let host = Arc::clone(self);
                     tokio::spawn(async move { compare(&host, address).await });
                 }
-                TableOrder::Died(incarnation) => {
+                TableAction::Died(incarnation) => {
                     log::info!("event=member_died incarnation={incarnation}");
                 }
             }
@@ -167,7 +167,7 @@
                 let mut state = self.state();
                 let orders = state.members.merge_all(now, &members);
                 let (members, crashes) =
-                    (state.members.full_news(), state.crashes.whole_report(now));
+                    (state.members.all_updates(), state.crashes.whole_report(now));
                 let limits = state.sends.book.all();
                 drop(state);
                 self.carry_out(orders);
@@ -178,9 +178,9 @@
                 let now = self.now();
                 let state = self.state();
                 let routes = (state.routes.version() > routes_version)
-                    .then(|| RouteNews::of(&state.routes, state.routes_revision, known.as_ref()));
+                    .then(|| RouteUpdate::of(&state.routes, state.routes_revision, known.as_ref()));
                 let fleet = (state.fleet.revision() > fleet_revision)
-                    .then(|| state.fleet.news_since(now, fleet_revision));
+                    .then(|| state.fleet.update_since(now, fleet_revision));
                 GatewayReply::View { routes, fleet, age }
             }
         }
--- a/src/gateway/peer_messages.rs
+++ b/src/gateway/peer_messages.rs
@@ -1,12 +1,12 @@
-use crate::fleet::{FleetNews, ServerStage};
+use crate::fleet::{FleetUpdate, ServerStage};
 use crate::keys::{IncarnationId, ServerKey};
 use crate::limits::{LimitAnswer, LimitAsk, LimitLoan, LoanAsk};
 use crate::membership::{MemberUpdate, ProbeMessage, ViewMark};
-use crate::organisations::{AgeAnswer, AgeQuestion};
+use crate::organisations::{AgeReply, AgeRequest};
 use crate::placement::{ServerLoad, WorkSums};
 use crate::quarantine::CrashReport;
 use crate::retries::{RetryAsk, RetryReply};
-use crate::routes::{RouteNews, ServiceKey, TableDigest};
+use crate::routes::{RouteUpdate, ServiceKey, TableDigest};
 use crate::server_limits::{LimitAnswered, LimitNews, SendAsk, SendReply};
 use serde::{Deserialize, Serialize};
 
@@ -20,9 +20,9 @@
     /// What the others must know at once; small, since it goes to all of them.
     Notice(HostNotice),
     /// How old is your configuration?
-    AgeQuestion(AgeQuestion),
+    AgeRequest(AgeRequest),
     /// So old.
-    AgeAnswer(AgeAnswer),
+    AgeReply(AgeReply),
     /// The sender asks the owner of an organisation's part, or tells it what it used.
     LimitAsk(IncarnationId, LimitAsk),
     /// The owner's answer.
@@ -54,7 +54,7 @@
             Self::Probe(_) => ("probes_sent", "probes_sent_bytes"),
             Self::Load(_) => ("loads_sent", "loads_sent_bytes"),
             Self::Notice(_) => ("notices_sent", "notices_sent_bytes"),
-            Self::AgeQuestion(_) | Self::AgeAnswer(_) => ("ages_sent", "ages_sent_bytes"),
+            Self::AgeRequest(_) | Self::AgeReply(_) => ("ages_sent", "ages_sent_bytes"),
             Self::LimitAsk(..) | Self::LimitAnswer(_) | Self::LoanAsk(_) | Self::LimitLoan(_) => {
                 ("limits_sent", "limits_sent_bytes")
             }
@@ -128,7 +128,7 @@
         /// Revision of the servers that the sender has.
         fleet_revision: u64,
         /// How old is the configuration that is handed over?
-        age: AgeQuestion,
+        age: AgeRequest,
     },
 }
 
@@ -147,10 +147,10 @@
     /// What is newer.
     View {
         /// The configuration, if newer.
-        routes: Option<RouteNews>,
+        routes: Option<RouteUpdate>,
         /// The servers, if newer.
-        fleet: Option<FleetNews>,
+        fleet: Option<FleetUpdate>,
         /// The age of the sender's configuration, if it knows it.
-        age: Option<AgeAnswer>,
+        age: Option<AgeReply>,
     },
 }
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -85,7 +85,7 @@
     context: &CallContext,
     record: &AttemptRecord,
 ) -> Option<(ServerEntry, SendPermit)> {
-    let spent = record.sent >= context.route.most_servers || record.unreached >= MOST_UNREACHED;
+    let spent = record.sent >= context.route.max_servers || record.unreached >= MOST_UNREACHED;
     if spent || context.time_left().is_zero() || context.is_held_back(record.sent).await {
         return None;
     }
@@ -150,7 +150,7 @@
     let _load = LoadGuard::new(&context.host, server.key(), load);
     context.host.note_server(server, ServerNote::Sent);
     let repeatable = context.route.is_repeatable();
-    let more = repeatable && record.sent + 1 < context.route.most_servers;
+    let more = repeatable && record.sent + 1 < context.route.max_servers;
     let patience = context.route.objective * SILENCE_OBJECTIVES;
     let limit = if more { patience.min(context.time_left()) } else { context.time_left() };
     let end = match tokio::time::timeout(limit, exchange(context, server, &mut permit)).await {
--- a/src/gateway/prompt_read.rs
+++ b/src/gateway/prompt_read.rs
@@ -74,7 +74,7 @@
                 // that ordered this has not said so, or is gone.
                 context.host.note_server(server, ServerNote::Erred);
                 let now = context.host.now();
-                context.host.state().changes.note_suspected(now, server.key());
+                context.host.state().changes.record_suspicion(now, server.key());
             }
             Ok(ReadEnd::Failed) => {
                 context.host.note_server(server, ServerNote::Erred);
--- a/src/gateway/run_open.rs
+++ b/src/gateway/run_open.rs
@@ -93,7 +93,7 @@
 /// prompt again and running again count as one repeat each.
 pub(super) async fn may_retry_run(context: &CallContext, runs: &RunRecord) -> bool {
     context.route.is_repeatable()
-        && runs.sent < context.route.most_servers
+        && runs.sent < context.route.max_servers
         && !context.time_left().is_zero()
         && context.host.take_retries(context.service, 2).await
 }
@@ -212,7 +212,7 @@
     }
     let tokens = needed_tokens(context, engine, after);
     let mut permit = context.permit(server).await.ok_or_else(at_limit)?;
-    let hold = acquire_hold(&context.host, server, tokens, engine.longest_hold).await;
+    let hold = acquire_hold(&context.host, server, tokens, engine.max_hold).await;
     let Ok(Some(mut keep)) = hold else {
         return Err(turned_away());
     };
@@ -224,7 +224,7 @@
         // It granted a hold and turned the run away twice: it changes its stage, and the host that
         // ordered this has not said so.
         let now = context.host.now();
-        context.host.state().changes.note_suspected(now, server.key());
+        context.host.state().changes.record_suspicion(now, server.key());
     }
     let (head, reader, first) = opened?;
     Ok(OpenRun { server: server.clone(), head, reader, first, load })
--- a/src/gateway/run_start.rs
+++ b/src/gateway/run_start.rs
@@ -62,7 +62,7 @@
 ) -> Result<RunStart, OpenFailure> {
     runs.sent += 1;
     context.host.note_server(server, ServerNote::Sent);
-    let may_repeat = context.route.is_repeatable() && runs.sent < context.route.most_servers;
+    let may_repeat = context.route.is_repeatable() && runs.sent < context.route.max_servers;
     let limit =
         if may_repeat { FIRST_EVENT_LIMIT.min(context.time_left()) } else { context.time_left() };
     let started = match tokio::time::timeout(limit, start_run(context, server, part, permit)).await
--- a/src/gateway/send_owner.rs
+++ b/src/gateway/send_owner.rs
@@ -130,7 +130,7 @@
             domain.is_none_or(|domain| domain != own.domain || record.update.domain == domain)
         });
         self.send_owner(now, server) == OwnerChoice::Own
-            && !self.members.was_wronged(since)
+            && !self.members.was_declared_dead(since)
             && has_owned(server, own.incarnation, others, since)
     }
 
--- a/src/gateway/server_lives.rs
+++ b/src/gateway/server_lives.rs
@@ -1,7 +1,7 @@
 //! What follows when a server starts again under its id: nothing that its former life did counts.
 
 use super::gateway_host::GatewayHost;
-use crate::fleet::{LifeChange, LifeOutcome, ServerEntry};
+use crate::fleet::{IncarnationChange, IncarnationOutcome, ServerEntry};
 
 impl GatewayHost {
     /// Whether a server that was chosen earlier has started again since.
@@ -13,7 +13,7 @@
     ///
     /// Whatever is kept under the key of a former life is found by nobody any more, and most of it passes
     /// by itself; what would stay is dropped here.
-    pub(super) fn note_lives(&self, revision: u64, changes: &[LifeChange]) {
+    pub(super) fn note_lives(&self, revision: u64, changes: &[IncarnationChange]) {
         let now = self.now();
         let mut state = self.state();
         state.note_cold(now);
@@ -27,15 +27,15 @@
     }
 }
 
-fn log_life(revision: u64, change: &LifeChange) {
+fn log_life(revision: u64, change: &IncarnationChange) {
     let id = &change.id;
-    let (known, told) = (birth(change.known_born), birth(change.told_born));
+    let (known, told) = (birth(change.known_started_at), birth(change.received_started_at));
     match change.outcome {
-        LifeOutcome::Restarted => log::info!(
+        IncarnationOutcome::Restarted => log::info!(
             "event=server_restarted server={id} born={told} former={known} revision={revision} \
              outcome=former_life_forgotten"
         ),
-        LifeOutcome::Outdated => log::info!(
+        IncarnationOutcome::Outdated => log::info!(
             "event=server_life_outdated server={id} born={told} known={known} revision={revision} \
              outcome=passed_over"
         ),
--- a/src/gateway/stage_loop.rs
+++ b/src/gateway/stage_loop.rs
@@ -54,7 +54,7 @@
         if !host.gives_orders() {
             // A takeover that waits goes on waiting if this host is elected again.
             desk = StageDesk { lease: desk.lease, ..StageDesk::default() };
-            host.state().changes.retain_ordered(|_| false);
+            host.state().changes.retain_orders(|_| false);
             continue;
         }
         if !may_give_orders(host.now().since(TimePoint::default())) {
@@ -98,7 +98,7 @@
         let now = self.now();
         {
             let state = self.state();
-            for (key, to) in state.changes.heard(now) {
+            for (key, to) in state.changes.announced(now) {
                 desk.orders.note_open(now, key, to, CHANGE_TIME);
             }
         }
@@ -116,7 +116,7 @@
         let mut state = self.state();
         let state = &mut *state;
         desk.orders.forget(now, |key| state.fleet.entry(key).map(|entry| entry.stage));
-        state.changes.retain_ordered(|key| desk.orders.heads_to(key).is_some());
+        state.changes.retain_orders(|key| desk.orders.heads_to(key).is_some());
         let mut changes = Vec::new();
         for (service, spec) in state.routes.services() {
             let Some(engine) = &spec.engine else { continue };
--- a/src/gateway/stage_orders.rs
+++ b/src/gateway/stage_orders.rs
@@ -99,7 +99,7 @@
                     "event=stage_ordered server={server} to={to} fence={fence} answer={status}"
                 );
                 if status.is_success() {
-                    self.state().changes.note_ordered(change.server.key(), change.to);
+                    self.state().changes.record_order(change.server.key(), change.to);
                 } else {
                     desk.orders.note_refused(change.server.key());
                 }
@@ -118,14 +118,14 @@
         let (now, key, to) = (self.now(), change.server.key(), change.to);
         log::info!("event=stage_under_way server={} to={}", change.server.id, to.name());
         desk.orders.note_open(now, key, to, change.engine.stage_change);
-        self.state().changes.note_ordered(key, to);
+        self.state().changes.record_order(key, to);
     }
 
     /// The engine has started again: the plan was for its former life, which is left alone until the entry
     /// of the new one is known and planned with.
     fn note_restarted(&self, desk: &mut StageDesk, change: &PlannedChange, reported: Option<u64>) {
         let (server, to) = (&change.server, change.to.name());
-        let (planned, reported) = (birth(server.born), birth(reported));
+        let (planned, reported) = (birth(server.started_at), birth(reported));
         log::info!(
             "event=stage_not_ordered server={} to={to} cause=server_restarted planned={planned} \
              reported={reported}",
--- a/src/gateway/store_contact.rs
+++ b/src/gateway/store_contact.rs
@@ -39,7 +39,7 @@
     let now = host.now();
     {
         let mut state = host.state();
-        state.fleet.note_store_heard(now, Duration::ZERO);
+        state.fleet.record_store_answer(now, Duration::ZERO);
         state.answered_at = now;
     }
     let away = FollowedKind::ALL.map(|kind| host.store_away(kind).load(Ordering::Relaxed));
@@ -52,7 +52,7 @@
     /// Notes whether the store refuses this host, and tells the others at once if that is new.
     fn note_refused(&self, refused: bool) {
         let now = self.now();
-        let is_new = self.state().refused.note(now, self.incarnation, refused);
+        let is_new = self.state().refused.record(now, self.incarnation, refused);
         if is_new {
             self.tell_everyone();
         }
--- a/src/gateway/view_lag.rs
+++ b/src/gateway/view_lag.rs
@@ -19,7 +19,7 @@
         let mut state = self.state();
         for kind in FollowedKind::ALL {
             let own = kind.part_of(state.view_mark());
-            state.freshness_mut(kind).hear(now, own, kind.part_of(heard));
+            state.freshness_mut(kind).apply_revision(now, own, kind.part_of(heard));
         }
     }
 
@@ -32,7 +32,7 @@
         {
             let own = kind.part_of(state.view_mark());
             let age = Duration::from_millis(age_ms.into());
-            state.freshness_mut(kind).hear_age(now, own, kind.part_of(heard), age);
+            state.freshness_mut(kind).apply_age(now, own, kind.part_of(heard), age);
         }
     }
 
@@ -44,7 +44,7 @@
             FollowedKind::Routes => state.routes.version(),
             FollowedKind::Servers => revision,
         };
-        state.freshness_mut(kind).note_complete(at, reached);
+        state.freshness_mut(kind).record_complete(at, reached);
     }
 
     /// Whether others have a newer configuration that this host has not got yet.
--- a/src/gateway/view_loop.rs
+++ b/src/gateway/view_loop.rs
@@ -4,7 +4,7 @@
 use super::view_lag::LagReport;
 use super::view_store::{ask_now, list, list_or_hear, read_in_turn, watch};
 use crate::Error;
-use crate::fleet::{DutyView, WatchDuty, stretched, watch_duty};
+use crate::fleet::{RoleInput, WatcherRole, scaled_interval, watcher_role};
 use crate::host::lock;
 use crate::keys::TimePoint;
 use std::sync::Arc;
@@ -99,16 +99,16 @@
     let mut report = DutyLog::new(kind);
     loop {
         let view = host.duty_view(kind, contact);
-        let duty = watch_duty(&view);
+        let duty = watcher_role(&view);
         report.note(duty, &view);
-        if duty == WatchDuty::Hear {
+        if duty == WatcherRole::Follow {
             watched = None;
             question = NextQuestion::Wait;
             contact.doubts_since = None;
             tokio::time::sleep(DUTY_PERIOD).await;
             continue;
         }
-        if duty == WatchDuty::Doubt {
+        if duty == WatcherRole::Poll {
             contact.doubts_since.get_or_insert(host.now());
         }
         if watched.is_none() && question == NextQuestion::Wait {
@@ -152,7 +152,7 @@
                 question = question.after_failure(&error);
                 host.pause_unless_heard(pause).await;
                 let longest =
-                    if view.lacks_news() { LONGEST_PAUSE } else { host.longest_pause(kind) };
+                    if view.lacks_updates() { LONGEST_PAUSE } else { host.longest_pause(kind) };
                 pause = (pause * 2).min(longest);
                 continue;
             }
@@ -166,29 +166,29 @@
 
 impl GatewayHost {
     /// What decides whether this host asks the store for a kind itself, or hears it from others.
-    fn duty_view(&self, kind: FollowedKind, contact: OwnContact) -> DutyView {
+    fn duty_view(&self, kind: FollowedKind, contact: OwnContact) -> RoleInput {
         let known = self.known_revision(kind).is_some();
         let now = self.now();
         let state = self.state();
         let domain = self.domain();
         let watcher = state.watcher(now, domain);
         let is_vacant = watcher.is_none_or(|host| state.refused.is_refused(now, host));
-        let heard_at = watcher.and_then(|host| state.members.record(host)?.heard_at);
+        let heard_at = watcher.and_then(|host| state.members.record(host)?.received_at);
         let stands_in = contact.doubts_since.is_some_and(|since| {
             heard_at.is_none_or(|at| at < since) && state.has_newest_answer(kind)
         });
-        DutyView {
-            uninformed_for: (!known).then(|| now.since(TimePoint::default())),
+        RoleInput {
+            without_view_for: (!known).then(|| now.since(TimePoint::default())),
             is_alone: state.members.is_alone(),
-            handover_idle: lock(&self.view_fetches).moved_at().map(|at| now.since(at)),
+            handover_idle: lock(&self.view_fetches).last_progress_at().map(|at| now.since(at)),
             elected: watcher == Some(self.incarnation),
-            answered_for: contact
+            store_answered_for: contact
                 .answered_at
                 .filter(|_| is_vacant || stands_in)
                 .map(|at| now.since(at)),
             view_age: state.view_age(now, kind),
             behind_for: state.behind_for(now, kind),
-            unheard_for: state.unheard_for(now),
+            silent_for: state.silent_for(now),
             config_age: match kind {
                 FollowedKind::Routes => {
                     state.longest_config_age().map(|_| state.config_age.age(now))
@@ -196,7 +196,7 @@
                 FollowedKind::Servers => None,
             },
             // An answer to any other question since tells more.
-            refused_for: contact
+            store_refused_for: contact
                 .refused_at
                 .filter(|at| *at > state.answered_at)
                 .map(|at| now.since(at)),
@@ -229,7 +229,7 @@
         if self.reads(kind) && self.is_watcher() {
             return KEYED_PAUSE;
         }
-        stretched(LONGEST_PAUSE, self.state().members.owners(self.domain()).count())
+        scaled_interval(LONGEST_PAUSE, self.state().members.owners(self.domain()).count())
     }
 }
 
--- a/src/gateway/view_servers.rs
+++ b/src/gateway/view_servers.rs
@@ -23,7 +23,7 @@
         state.fleet.replace_all(now, revision, entries)
     } else {
         // The listing says nothing of the servers behind its end: they hold.
-        let stated = entries.into_iter().map(FleetChange::Stated).collect();
+        let stated = entries.into_iter().map(FleetChange::Updated).collect();
         state.fleet.apply(now, revision, stated)
     };
     state.fleet.apply(now, revision, unusable);
@@ -62,7 +62,7 @@
         StoreEvent::Unreadable(_) => return,
     };
     match change {
-        FleetChange::Stated(entry) => {
+        FleetChange::Updated(entry) => {
             let stage = entry.stage.map_or("none", ServerStage::name);
             let (state, domain) = (entry.state, entry.domain.0);
             log::info!(
--- a/src/gateway/view_spread.rs
+++ b/src/gateway/view_spread.rs
@@ -5,19 +5,19 @@
 use super::store_contact::FollowedKind;
 use crate::host::lock;
 use crate::keys::mix_hash;
-use crate::peers::PeerPatience;
-use crate::routes::{RouteNews, RouteTable};
+use crate::peers::PeerTimeouts;
+use crate::routes::{RouteTable, RouteUpdate};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
 /// A reply begins within a round trip, if its host is not busy with a large view of its own. A whole view of 3,000
 /// servers is 270 KB, and a neighbour may hand it to dozens at once over a link of 10 Mbit/s: only pauses are bounded.
-const FETCH_PATIENCE: PeerPatience =
-    PeerPatience { reply: Duration::from_millis(400), pause: Duration::from_millis(400) };
+const FETCH_PATIENCE: PeerTimeouts =
+    PeerTimeouts { reply: Duration::from_millis(400), pause: Duration::from_millis(400) };
 /// The same for a host that has no view yet and nothing else to wait for.
-const FIRST_PATIENCE: PeerPatience =
-    PeerPatience { reply: Duration::from_millis(3000), pause: Duration::from_millis(1000) };
+const FIRST_PATIENCE: PeerTimeouts =
+    PeerTimeouts { reply: Duration::from_millis(3000), pause: Duration::from_millis(1000) };
 /// Neighbours that a host without a view asks for theirs before it lists the servers: with half of them just as new, one
 /// of four has a view in nearly all cases.
 const FIRST_TRIES: u64 = 4;
@@ -40,7 +40,7 @@
             let mut state = self.state();
             let mark = state.view_mark();
             state.members.set_view(mark);
-            state.members.push_news(VIEW_NEAR, abroad)
+            state.members.push_updates(VIEW_NEAR, abroad)
         };
         self.carry_out(orders);
     }
@@ -77,9 +77,9 @@
     }
 
     /// Puts a configuration in force that another host told; `known` was in force as it was asked.
-    fn hear_routes(&self, address: SocketAddr, known: &RouteTable, news: RouteNews) {
-        let (revision, told) = (news.revision, news.told_routes());
-        match news.applied(known) {
+    fn hear_routes(&self, address: SocketAddr, known: &RouteTable, news: RouteUpdate) {
+        let (revision, told) = (news.revision, news.route_count());
+        match news.apply_to(known) {
             Ok(table) => {
                 log::info!("event=config_heard peer={address} revision={revision} routes={told}");
                 self.adopt_routes(revision, table, ViewSource::Peer);
@@ -99,12 +99,12 @@
                 routes_version: routes.version(),
                 known: is_behind.then(|| routes.digest()).flatten(),
                 fleet_revision: state.fleet.revision(),
-                age: state.config_age.question(now),
+                age: state.config_age.next_request(now),
             }
         };
         let informed = self.state().fleet.revision() > 0;
         let patience = if informed { FETCH_PATIENCE } else { FIRST_PATIENCE };
-        let on_piece = || lock(&self.view_fetches).note_piece(self.now(), address);
+        let on_piece = || lock(&self.view_fetches).record_progress(self.now(), address);
         match self.peers.fetch(address, &request, patience, on_piece).await {
             Ok(GatewayReply::View { routes: news, fleet, age }) => {
                 if let Some(news) = news {
@@ -117,7 +117,7 @@
                     let now = self.now();
                     let (revision, partial) = (news.revision, news.is_partial);
                     let (changed, removed) = (news.servers.len(), news.removed.len());
-                    let lives = self.state().fleet.adopt(now, news);
+                    let lives = self.state().fleet.apply_update(now, news);
                     log::info!(
                         "event=servers_heard peer={address} revision={revision} partial={partial} \
                          changed={changed} removed={removed}"
--- a/src/host/books_attempt.rs
+++ b/src/host/books_attempt.rs
@@ -9,7 +9,7 @@
 use super::place_request::{choose, place_ask, used_pair, why_refused};
 use super::prefill_leg::run_prefill;
 use crate::keys::AttemptId;
-use crate::peers::{HoldAsk, PlaceAsk, StartReply};
+use crate::peers::{HoldRequest, PlaceRequest, StartReply};
 use crate::placement::{PairChoice, PlacementPolicy};
 use std::sync::Arc;
 use std::time::Duration;
@@ -86,7 +86,7 @@
     ask: &CompletionAsk,
     answer: &AnswerState,
     guard: &mut AttemptGuard,
-    place: &mut PlaceAsk,
+    place: &mut PlaceRequest,
     pair: &PairChoice,
     (prefill, decode): (UsedServer, UsedServer),
 ) -> PairStart {
@@ -154,11 +154,11 @@
     host: &Arc<HostState>,
     ask: &CompletionAsk,
     guard: &mut AttemptGuard,
-    place: &PlaceAsk,
+    place: &PlaceRequest,
     pair: &PairChoice,
     decode: UsedServer,
 ) -> Option<u64> {
-    let hold = HoldAsk {
+    let hold = HoldRequest {
         server: decode.key,
         attempt: place.attempt,
         earliest_in_micros: pair.handoff_in_micros,
--- a/src/host/config_loop.rs
+++ b/src/host/config_loop.rs
@@ -3,8 +3,8 @@
 use super::host_state::{HostState, lock};
 use crate::intents::ClusterConfig;
 use crate::keys::{NameKey, mix_hash};
-use crate::membership::{TableOrder, ViewMark};
-use crate::peers::{PeerPatience, PeerReply, PeerRequest};
+use crate::membership::{TableAction, ViewMark};
+use crate::peers::{PeerReply, PeerRequest, PeerTimeouts};
 use crate::placement::rendezvous_rank;
 use crate::platform::INTENT_OBJECT;
 use std::net::SocketAddr;
@@ -24,8 +24,8 @@
 const READ_EVERY: Duration = Duration::from_secs(1800);
 const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(500);
 /// A configuration may be half a megabyte.
-const FETCH_PATIENCE: PeerPatience =
-    PeerPatience { reply: Duration::from_millis(500), pause: Duration::from_millis(500) };
+const FETCH_PATIENCE: PeerTimeouts =
+    PeerTimeouts { reply: Duration::from_millis(500), pause: Duration::from_millis(500) };
 const PUSH_FAN_OUT: usize = 4;
 /// Hosts of each other failure domain that are told as well.
 const PUSH_ABROAD: usize = 1;
@@ -54,7 +54,7 @@
         match heard {
             Ok(_) => {
                 let version = host.config().version;
-                lock(&host.config_freshness).note_complete(now, version);
+                lock(&host.config_freshness).record_complete(now, version);
                 if version == 0 {
                     tokio::time::sleep(PAUSE_AFTER_FAILURE / 4).await;
                 }
@@ -94,7 +94,7 @@
         let orders = {
             let mut members = lock(&self.members);
             members.set_view(ViewMark { config_version: version, fleet_revision: 0 });
-            members.push_news(PUSH_FAN_OUT, PUSH_ABROAD)
+            members.push_updates(PUSH_FAN_OUT, PUSH_ABROAD)
         };
         self.carry_out_orders(orders);
         let config = self.config();
@@ -105,19 +105,19 @@
         }
     }
 
-    pub(super) fn carry_out_orders(self: &Arc<Self>, orders: Vec<TableOrder>) {
+    pub(super) fn carry_out_orders(self: &Arc<Self>, orders: Vec<TableAction>) {
         for order in orders {
             match order {
-                TableOrder::Send(address, message) => {
+                TableAction::Send(address, message) => {
                     if let Ok(bytes) =
                         crate::peers::seal_datagram(&self.settings.shared_key, &message)
                     {
                         let _ = self.outbox.send((address, bytes));
                     }
                 }
-                TableOrder::FetchView(address) => self.fetch_config(address),
-                TableOrder::Compare(address) => self.compare_members(address),
-                TableOrder::Died(incarnation) => {
+                TableAction::FetchView(address) => self.fetch_config(address),
+                TableAction::Compare(address) => self.compare_members(address),
+                TableAction::Died(incarnation) => {
                     log::info!("event=member_died incarnation={incarnation}");
                     for server in lock(&self.owned).values_mut() {
                         server.book.slots.doubt(incarnation);
@@ -130,7 +130,7 @@
     /// Another host has this version.
     pub(super) fn hear_version(&self, heard: u64) {
         let own = self.config().version;
-        lock(&self.config_freshness).hear(self.now(), own, heard);
+        lock(&self.config_freshness).apply_revision(self.now(), own, heard);
     }
 
     fn is_behind(&self) -> bool {
@@ -152,7 +152,7 @@
 
     async fn fetch_from(self: &Arc<Self>, address: SocketAddr) {
         let request = PeerRequest::Config(self.config().version);
-        let on_piece = || lock(&self.config_fetches).note_piece(self.now(), address);
+        let on_piece = || lock(&self.config_fetches).record_progress(self.now(), address);
         if let Ok(PeerReply::Config(Some(config))) =
             self.peers.fetch(address, &request, FETCH_PATIENCE, on_piece).await
         {
--- a/src/host/daemon.rs
+++ b/src/host/daemon.rs
@@ -74,8 +74,8 @@
         log::info!("event=drain_began in_flight={}", self.in_flight.load(Ordering::Relaxed));
         let orders = {
             let mut members = lock(&self.members);
-            members.leave();
-            members.push_news(usize::MAX, usize::MAX)
+            members.start_draining();
+            members.push_updates(usize::MAX, usize::MAX)
         };
         let books = self.book_claims();
         self.carry_out_orders(orders);
--- a/src/host/gossip_loop.rs
+++ b/src/host/gossip_loop.rs
@@ -79,7 +79,7 @@
 }
 
 async fn compare(host: &Arc<HostState>, address: SocketAddr) -> bool {
-    let news = lock(&host.members).full_news();
+    let news = lock(&host.members).all_updates();
     let request = PeerRequest::Sync(news);
     let Ok(PeerReply::Members(theirs)) = host.peers.call(address, &request, COMPARE_LIMIT).await
     else {
--- a/src/host/handoff.rs
+++ b/src/host/handoff.rs
@@ -7,7 +7,7 @@
 use super::place_request::{CANDIDATES, used};
 use crate::intents::{ServerRole, ServerSpec};
 use crate::keys::AttemptId;
-use crate::peers::HoldAsk;
+use crate::peers::HoldRequest;
 use crate::placement::RefusalReason;
 use std::sync::Arc;
 use std::time::Duration;
@@ -48,7 +48,7 @@
     kv_bytes: u64,
     latest: Duration,
 ) -> Result<u64, RefusalReason> {
-    let hold = HoldAsk {
+    let hold = HoldRequest {
         server: server.key,
         attempt,
         earliest_in_micros: 0,
--- a/src/host/owner_calls.rs
+++ b/src/host/owner_calls.rs
@@ -5,7 +5,7 @@
 use crate::keys::{AttemptId, IncarnationId, NameKey, ServerKey};
 use crate::membership::MemberUpdate;
 use crate::peers::{
-    HoldAsk, PeerReply, PeerRequest, PlaceAsk, PlaceOffers, StartReply, StopReport,
+    HoldRequest, PeerReply, PeerRequest, PlaceOffers, PlaceRequest, StartReply, StopReport,
 };
 use crate::placement::{RefusalReason, rendezvous_owner};
 use crate::{Error, Result};
@@ -35,7 +35,7 @@
         if let Err(Error::Io(error)) = &result
             && error.kind() == std::io::ErrorKind::ConnectionRefused
         {
-            lock(&self.members).note_refused(self.now(), peer.incarnation);
+            lock(&self.members).record_refusal(self.now(), peer.incarnation);
         }
         result
     }
@@ -44,7 +44,7 @@
     pub(super) async fn ask_quotes(
         self: &Arc<Self>,
         config: &ClusterConfig,
-        ask: &PlaceAsk,
+        ask: &PlaceRequest,
     ) -> PlaceOffers {
         let mut offers = PlaceOffers::default();
         let mut calls = tokio::task::JoinSet::new();
@@ -69,11 +69,11 @@
     fn split_by_owner(
         &self,
         config: &ClusterConfig,
-        ask: &PlaceAsk,
-    ) -> Vec<(MemberUpdate, PlaceAsk)> {
-        let empty = PlaceAsk { prefills: Vec::new(), decodes: Vec::new(), ..ask.clone() };
-        let mut parts: HashMap<IncarnationId, (MemberUpdate, PlaceAsk)> = HashMap::new();
-        let mut part_of = |key: ServerKey, add: &dyn Fn(&mut PlaceAsk)| {
+        ask: &PlaceRequest,
+    ) -> Vec<(MemberUpdate, PlaceRequest)> {
+        let empty = PlaceRequest { prefills: Vec::new(), decodes: Vec::new(), ..ask.clone() };
+        let mut parts: HashMap<IncarnationId, (MemberUpdate, PlaceRequest)> = HashMap::new();
+        let mut part_of = |key: ServerKey, add: &dyn Fn(&mut PlaceRequest)| {
             let Some(domain) = config.server(key).map(|server| server.domain_key()) else {
                 return;
             };
@@ -96,7 +96,7 @@
     pub(super) async fn hold_slot(
         self: &Arc<Self>,
         domain: NameKey,
-        ask: HoldAsk,
+        ask: HoldRequest,
     ) -> std::result::Result<u64, RefusalReason> {
         let owner = self.owner_of(ask.server, domain).ok_or(RefusalReason::NotServing)?;
         if owner.incarnation == self.incarnation {
@@ -113,7 +113,7 @@
         self: &Arc<Self>,
         server: ServerKey,
         domain: NameKey,
-        ask: &PlaceAsk,
+        ask: &PlaceRequest,
         limit: Duration,
     ) -> StartReply {
         let Some(owner) = self.owner_of(server, domain) else {
--- a/src/host/owner_desk.rs
+++ b/src/host/owner_desk.rs
@@ -2,7 +2,7 @@
 
 use super::host_state::{HostState, lock, micros};
 use crate::keys::{AttemptId, ServerKey, TimePoint};
-use crate::peers::{HoldAsk, PlaceAsk, PlaceOffers, StartReply, StopReport};
+use crate::peers::{HoldRequest, PlaceOffers, PlaceRequest, StartReply, StopReport};
 use crate::placement::{PrefillAsk, RefusalReason};
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 impl HostState {
     /// Quotes for the servers of `ask` whose books are kept here.
-    pub(super) fn quote_here(&self, ask: &PlaceAsk) -> PlaceOffers {
+    pub(super) fn quote_here(&self, ask: &PlaceRequest) -> PlaceOffers {
         let now = self.now();
         let mut offers = PlaceOffers::default();
         let mut owned = lock(&self.owned);
@@ -42,7 +42,7 @@
     }
 
     /// Holds a slot of a server whose book is kept here; returns microseconds until the handoff.
-    pub(super) fn hold_here(&self, ask: &HoldAsk) -> Result<u64, RefusalReason> {
+    pub(super) fn hold_here(&self, ask: &HoldRequest) -> Result<u64, RefusalReason> {
         let now = self.now();
         let window = (
             now + Duration::from_micros(ask.earliest_in_micros),
@@ -59,7 +59,7 @@
     pub(super) async fn enqueue_here(
         self: &Arc<Self>,
         key: ServerKey,
-        ask: &PlaceAsk,
+        ask: &PlaceRequest,
     ) -> StartReply {
         let (sender, receiver) = oneshot::channel();
         let admitted = {
@@ -159,7 +159,7 @@
     }
 }
 
-fn prefill_ask(now: TimePoint, ask: &PlaceAsk) -> PrefillAsk {
+fn prefill_ask(now: TimePoint, ask: &PlaceRequest) -> PrefillAsk {
     PrefillAsk {
         attempt: ask.attempt,
         org: ask.org,
--- a/src/host/peer_desk.rs
+++ b/src/host/peer_desk.rs
@@ -19,14 +19,14 @@
             }
             PeerRequest::Report(server, attempt, report) => {
                 self.report_here(server, attempt, report);
-                PeerReply::Noted
+                PeerReply::Acknowledged
             }
             PeerRequest::Claims(server) => PeerReply::Claims(self.claims_on(server)),
             PeerRequest::StillHeld(attempts) => PeerReply::StillHeld(self.still_held(&attempts)),
             PeerRequest::Sync(news) => {
                 let (orders, ours) = {
                     let mut members = lock(&self.members);
-                    (members.merge_all(self.now(), &news), members.full_news())
+                    (members.merge_all(self.now(), &news), members.all_updates())
                 };
                 self.carry_out_orders(orders);
                 PeerReply::Members(ours)
@@ -56,7 +56,7 @@
                 if let Some(owned) = lock(&self.owned).get_mut(&server) {
                     owned.book.note_claims(now, &claims);
                 }
-                PeerReply::Noted
+                PeerReply::Acknowledged
             }
             PeerRequest::Spans(trace) => PeerReply::Spans(lock(&self.traces).spans_of(trace)),
         }
--- a/src/host/place_request.rs
+++ b/src/host/place_request.rs
@@ -6,7 +6,7 @@
 use super::host_state::{HostState, micros};
 use crate::intents::{ClusterConfig, ServerRole, ServerSpec};
 use crate::keys::{AttemptId, NameKey, OrgKey, ServerKey, mix_hash, stable_hash};
-use crate::peers::{PlaceAsk, PlaceOffers};
+use crate::peers::{PlaceOffers, PlaceRequest};
 use crate::placement::{PairChoice, choose_pair, prefix_blocks, rendezvous_rank};
 use std::time::Duration;
 
@@ -41,14 +41,14 @@
     ask: &CompletionAsk,
     answer: &AnswerState,
     attempt: AttemptId,
-) -> PlaceAsk {
+) -> PlaceRequest {
     let generated = u32::try_from(answer.generated.len()).unwrap_or(u32::MAX);
     let tokens = prompt_tokens(&ask.prompt).saturating_add(generated);
     let blocks = prompt_blocks(&ask.model.name, &ask.prompt);
     let kv_bytes = u64::from(tokens) * ask.model.kv_bytes_per_token;
     let left = answer.deadline.since(host.now()).saturating_sub(FIRST_STEP);
     let first = blocks.first().copied().unwrap_or(attempt.serial);
-    PlaceAsk {
+    PlaceRequest {
         attempt,
         org: OrgKey::of(&ask.organisation),
         model: format!("{}@{}", ask.model.name, ask.model.version),
@@ -122,7 +122,7 @@
 pub(super) fn choose(
     config: &ClusterConfig,
     offers: &PlaceOffers,
-    place: &PlaceAsk,
+    place: &PlaceRequest,
 ) -> Vec<PairChoice> {
     let domain = |key: ServerKey| config.server(key).map(|server| server.domain_key());
     let prefills: Vec<_> =
--- a/src/membership/member_record.rs
+++ b/src/membership/member_record.rs
@@ -9,9 +9,9 @@
     /// Since when it has its state.
     pub since: TimePoint,
     /// When a datagram of it last arrived here.
-    pub heard_at: Option<TimePoint>,
+    pub received_at: Option<TimePoint>,
     /// A refused connection makes the suspicion short.
     pub(super) quick: bool,
     /// How often the news is still to be repeated.
-    pub(super) repeats_left: u32,
+    pub(super) sends_left: u32,
 }
--- a/src/membership/member_table.rs
+++ b/src/membership/member_table.rs
@@ -1,6 +1,6 @@
 use super::probe_round::{Errand, OpenProbe};
 use super::{
-    MemberRecord, MemberState, MemberUpdate, ProbeKind, ProbeMessage, TableOrder, ViewMark,
+    MemberRecord, MemberState, MemberUpdate, ProbeKind, ProbeMessage, TableAction, ViewMark,
 };
 use crate::keys::{IncarnationId, NameKey, TimePoint};
 use std::collections::{BTreeMap, HashMap};
@@ -30,7 +30,7 @@
     /// When the last news about another host came.
     pub(super) changed_at: TimePoint,
     /// When this host last heard that others took it for dead.
-    pub(super) wronged_at: Option<TimePoint>,
+    pub(super) declared_dead_at: Option<TimePoint>,
     /// Since when the hosts that write believe in others than this one does.
     pub(super) differs_since: Option<TimePoint>,
     /// When a host of each other failure domain was last heard.
@@ -53,7 +53,7 @@
             next_probe: TimePoint::default(),
             next_compare: TimePoint::default(),
             changed_at: TimePoint::default(),
-            wronged_at: None,
+            declared_dead_at: None,
             differs_since: None,
             domains_heard: HashMap::new(),
             salt,
@@ -66,7 +66,7 @@
     }
 
     /// Announces that this host drains.
-    pub fn leave(&mut self) {
+    pub fn start_draining(&mut self) {
         self.own.state = MemberState::Leaving;
         self.own.version += 1;
     }
@@ -97,8 +97,8 @@
     }
 
     /// Whether others took this host for dead at some time after `since`, and its place with that.
-    pub fn was_wronged(&self, since: TimePoint) -> bool {
-        self.wronged_at.is_some_and(|at| at > since)
+    pub fn was_declared_dead(&self, since: TimePoint) -> bool {
+        self.declared_dead_at.is_some_and(|at| at > since)
     }
 
     /// The record of one incarnation.
@@ -124,16 +124,16 @@
     }
 
     /// A host was heard by another way than a probe.
-    pub fn note_heard(&mut self, now: TimePoint, incarnation: IncarnationId) {
+    pub fn record_received(&mut self, now: TimePoint, incarnation: IncarnationId) {
         if let Some(record) = self.members.get_mut(&incarnation) {
-            record.heard_at = Some(now);
+            record.received_at = Some(now);
             let domain = record.update.domain;
             self.domains_heard.insert(domain, now);
         }
     }
 
     /// Time since anything was heard of any other host that lives and is one of those `wanted`; `None` if there is none.
-    pub fn unheard_for(
+    pub fn silent_for(
         &self,
         now: TimePoint,
         wanted: impl Fn(IncarnationId) -> bool,
@@ -141,7 +141,7 @@
         let living = self.members.values().filter(|record| record.update.state.is_living());
         let wanted = living.filter(|record| wanted(record.update.incarnation));
         // A host that was only told of may have been heard from the moment on at which that was.
-        let heard = wanted.map(|record| record.heard_at.unwrap_or(record.since)).max();
+        let heard = wanted.map(|record| record.received_at.unwrap_or(record.since)).max();
         heard.map(|at| now.since(at))
     }
 
@@ -151,24 +151,24 @@
     }
 
     /// All news for a host that joins or compares notes.
-    pub fn full_news(&self) -> Vec<MemberUpdate> {
+    pub fn all_updates(&self) -> Vec<MemberUpdate> {
         self.all().collect()
     }
 
     /// Handles a datagram whose sender proved the shared key.
-    pub fn receive(&mut self, now: TimePoint, message: &ProbeMessage) -> Vec<TableOrder> {
+    pub fn receive(&mut self, now: TimePoint, message: &ProbeMessage) -> Vec<TableAction> {
         let mut orders = Vec::new();
         let sender = message.sender;
         self.merge(now, sender, &mut orders);
         for update in &message.updates {
             self.merge(now, *update, &mut orders);
         }
-        self.note_heard(now, sender.incarnation);
+        self.record_received(now, sender.incarnation);
         if self.view.is_behind(message.view) {
-            orders.push(TableOrder::FetchView(sender.address));
+            orders.push(TableAction::FetchView(sender.address));
         }
         if self.should_compare(now, message.digest) {
-            orders.push(TableOrder::Compare(sender.address));
+            orders.push(TableAction::Compare(sender.address));
         }
         match message.kind {
             ProbeKind::Ping => {
@@ -176,7 +176,7 @@
                 // A host that is believed gone hears of it, so that it can refute it.
                 let wronged = self.members.get(&sender.incarnation).map(|record| record.update);
                 ack.updates.extend(wronged.filter(|update| update.state >= MemberState::Suspect));
-                orders.push(TableOrder::Send(sender.address, ack));
+                orders.push(TableAction::Send(sender.address, ack));
             }
             ProbeKind::Ack => self.on_ack(sender.incarnation, message.sequence, &mut orders),
             ProbeKind::AckFor(target) => {
@@ -188,7 +188,7 @@
     }
 
     /// Merges news that came by another way than a datagram.
-    pub fn merge_all(&mut self, now: TimePoint, updates: &[MemberUpdate]) -> Vec<TableOrder> {
+    pub fn merge_all(&mut self, now: TimePoint, updates: &[MemberUpdate]) -> Vec<TableAction> {
         let mut orders = Vec::new();
         for update in updates {
             self.merge(now, *update, &mut orders);
@@ -197,7 +197,7 @@
     }
 
     /// A connection to the host was refused: it is suspected at once, and not for long.
-    pub fn note_refused(&mut self, now: TimePoint, incarnation: IncarnationId) {
+    pub fn record_refusal(&mut self, now: TimePoint, incarnation: IncarnationId) {
         let same_domain = self.own.domain;
         if let Some(record) = self.members.get_mut(&incarnation)
             && record.update.domain == same_domain
@@ -206,17 +206,17 @@
             record.update.state = MemberState::Suspect;
             record.since = now;
             record.quick = true;
-            record.repeats_left = REPEATS * 4;
+            record.sends_left = REPEATS * 4;
         }
     }
 
-    fn merge(&mut self, now: TimePoint, update: MemberUpdate, orders: &mut Vec<TableOrder>) {
+    fn merge(&mut self, now: TimePoint, update: MemberUpdate, orders: &mut Vec<TableAction>) {
         if update.incarnation == self.own.incarnation {
             let slandered = matches!(update.state, MemberState::Suspect | MemberState::Dead);
             if slandered && update.version >= self.own.version {
                 self.own.version = update.version + 1;
                 if update.state == MemberState::Dead {
-                    self.wronged_at = Some(now);
+                    self.declared_dead_at = Some(now);
                 }
             }
             return;
@@ -231,25 +231,25 @@
                 }
                 self.changed_at = now;
                 let died = update.state == MemberState::Dead && known.1 != MemberState::Dead;
-                let kept = record.heard_at;
+                let kept = record.received_at;
                 *record = MemberRecord {
                     update,
                     since: now,
-                    heard_at: kept,
+                    received_at: kept,
                     quick: false,
-                    repeats_left: repeats,
+                    sends_left: repeats,
                 };
                 if died {
-                    orders.push(TableOrder::Died(update.incarnation));
+                    orders.push(TableAction::Died(update.incarnation));
                 }
             }
             None => {
                 let record = MemberRecord {
                     update,
                     since: now,
-                    heard_at: None,
+                    received_at: None,
                     quick: false,
-                    repeats_left: repeats,
+                    sends_left: repeats,
                 };
                 self.changed_at = now;
                 self.members.insert(update.incarnation, record);
@@ -263,7 +263,7 @@
         &mut self,
         now: TimePoint,
         newer: MemberUpdate,
-        orders: &mut Vec<TableOrder>,
+        orders: &mut Vec<TableAction>,
     ) {
         for record in self.members.values_mut() {
             let older = record.update.address == newer.address
@@ -272,8 +272,8 @@
             if older {
                 record.update.state = MemberState::Dead;
                 record.since = now;
-                record.repeats_left = REPEATS;
-                orders.push(TableOrder::Died(record.update.incarnation));
+                record.sends_left = REPEATS;
+                orders.push(TableAction::Died(record.update.incarnation));
             }
         }
     }
@@ -282,15 +282,15 @@
         let mut fresh: Vec<IncarnationId> = self
             .members
             .iter()
-            .filter(|(_, record)| record.repeats_left > 0)
+            .filter(|(_, record)| record.sends_left > 0)
             .map(|(incarnation, _)| *incarnation)
             .collect();
-        fresh.sort_by_key(|key| std::cmp::Reverse(self.members[key].repeats_left));
+        fresh.sort_by_key(|key| std::cmp::Reverse(self.members[key].sends_left));
         fresh.truncate(UPDATES_PER_MESSAGE);
         let mut updates = Vec::with_capacity(fresh.len());
         for key in fresh {
             if let Some(record) = self.members.get_mut(&key) {
-                record.repeats_left -= 1;
+                record.sends_left -= 1;
                 updates.push(record.update);
             }
         }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -9,7 +9,7 @@
 mod member_update;
 mod probe_message;
 mod probe_round;
-mod table_order;
+mod table_action;
 mod table_spread;
 mod view_mark;
 
@@ -18,5 +18,5 @@
 pub use member_table::MemberTable;
 pub use member_update::MemberUpdate;
 pub use probe_message::{ProbeKind, ProbeMessage};
-pub use table_order::TableOrder;
+pub use table_action::TableAction;
 pub use view_mark::ViewMark;
--- a/src/membership/probe_round.rs
+++ b/src/membership/probe_round.rs
@@ -1,6 +1,6 @@
 //! The table's clock: whom to probe, and what silence means.
 
-use super::{MemberState, MemberTable, MemberUpdate, ProbeKind, ProbeMessage, TableOrder};
+use super::{MemberState, MemberTable, MemberUpdate, ProbeKind, ProbeMessage, TableAction};
 use crate::keys::{IncarnationId, TimePoint, mix_hash};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -42,7 +42,7 @@
 
 impl MemberTable {
     /// Works the clock: probes, timeouts, deaths.
-    pub fn tick(&mut self, now: TimePoint) -> Vec<TableOrder> {
+    pub fn tick(&mut self, now: TimePoint) -> Vec<TableAction> {
         let mut orders = Vec::new();
         self.time_out_probes(now, &mut orders);
         self.time_out_suspects(now, &mut orders);
@@ -54,7 +54,7 @@
         orders
     }
 
-    fn time_out_probes(&mut self, now: TimePoint, orders: &mut Vec<TableOrder>) {
+    fn time_out_probes(&mut self, now: TimePoint, orders: &mut Vec<TableAction>) {
         let mut failed = Vec::new();
         let mut ask_for = Vec::new();
         self.probes.retain_mut(|probe| {
@@ -74,7 +74,7 @@
         for (target, sequence) in ask_for {
             for helper in self.helpers(target) {
                 let message = self.message(sequence, ProbeKind::PingFor(target));
-                orders.push(TableOrder::Send(helper, message));
+                orders.push(TableAction::Send(helper, message));
             }
         }
         for target in failed {
@@ -83,12 +83,12 @@
             {
                 record.update.state = MemberState::Suspect;
                 record.since = now;
-                record.repeats_left = ALARM_REPEATS;
+                record.sends_left = ALARM_REPEATS;
             }
         }
     }
 
-    fn time_out_suspects(&mut self, now: TimePoint, orders: &mut Vec<TableOrder>) {
+    fn time_out_suspects(&mut self, now: TimePoint, orders: &mut Vec<TableAction>) {
         let domain = self.own.domain;
         for record in self.members.values_mut() {
             let limit = if record.quick { REFUSED_SUSPECT_TIME } else { SUSPECT_TIME };
@@ -98,8 +98,8 @@
             if due {
                 record.update.state = MemberState::Dead;
                 record.since = now;
-                record.repeats_left = ALARM_REPEATS;
-                orders.push(TableOrder::Died(record.update.incarnation));
+                record.sends_left = ALARM_REPEATS;
+                orders.push(TableAction::Died(record.update.incarnation));
             }
         }
         self.members.retain(|_, record| {
@@ -107,7 +107,7 @@
         });
     }
 
-    fn probe_next(&mut self, now: TimePoint, orders: &mut Vec<TableOrder>) {
+    fn probe_next(&mut self, now: TimePoint, orders: &mut Vec<TableAction>) {
         self.rounds += 1;
         let target = if self.rounds.is_multiple_of(DEAD_EVERY) {
             self.pick(|update, _| update.state == MemberState::Dead)
@@ -134,17 +134,17 @@
             cross_domain,
         });
         let ping = self.message(sequence, ProbeKind::Ping);
-        orders.push(TableOrder::Send(target.address, ping));
+        orders.push(TableAction::Send(target.address, ping));
     }
 
-    fn probe_seed(&mut self, orders: &mut Vec<TableOrder>) {
+    fn probe_seed(&mut self, orders: &mut Vec<TableAction>) {
         if self.seeds.is_empty() {
             return;
         }
         let place = (mix_hash(self.salt, self.rounds) % self.seeds.len() as u64) as usize;
         let seed = self.seeds[place];
         let ping = self.message(0, ProbeKind::Ping);
-        orders.push(TableOrder::Send(seed, ping));
+        orders.push(TableAction::Send(seed, ping));
     }
 
     fn pick(&self, wanted: impl Fn(&MemberUpdate, &MemberUpdate) -> bool) -> Option<MemberUpdate> {
@@ -176,13 +176,13 @@
         &mut self,
         from: IncarnationId,
         sequence: u32,
-        orders: &mut Vec<TableOrder>,
+        orders: &mut Vec<TableAction>,
     ) {
         self.probes.retain(|probe| probe.target != from || probe.sequence != sequence);
         let done = self.errands.iter().position(|e| e.target == from && e.sequence == sequence);
         if let Some(errand) = done.map(|place| self.errands.swap_remove(place)) {
             let answer = self.message(errand.asker_sequence, ProbeKind::AckFor(from));
-            orders.push(TableOrder::Send(errand.asker, answer));
+            orders.push(TableAction::Send(errand.asker, answer));
         }
     }
 
@@ -191,7 +191,7 @@
         now: TimePoint,
         message: &ProbeMessage,
         target: IncarnationId,
-        orders: &mut Vec<TableOrder>,
+        orders: &mut Vec<TableAction>,
     ) {
         let Some(record) = self.members.get(&target) else {
             return;
@@ -207,6 +207,6 @@
             at: now,
         });
         let ping = self.message(sequence, ProbeKind::Ping);
-        orders.push(TableOrder::Send(address, ping));
+        orders.push(TableAction::Send(address, ping));
     }
 }
--- a/src/membership/table_order.rs
+++ b/src/membership/table_action.rs
@@ -4,7 +4,7 @@
 
 /// What the table wants done.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum TableOrder {
+pub enum TableAction {
     /// Send a datagram.
     Send(SocketAddr, ProbeMessage),
     /// A host has a newer view: fetch it.
--- a/src/membership/table_spread.rs
+++ b/src/membership/table_spread.rs
@@ -1,6 +1,6 @@
 //! How tables come to agree beyond the news on probes: pushes to many, and comparisons of the whole.
 
-use super::{MemberState, MemberTable, MemberUpdate, ProbeKind, TableOrder};
+use super::{MemberState, MemberTable, MemberUpdate, ProbeKind, TableAction};
 use crate::keys::{NameKey, TimePoint, mix_hash};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -41,14 +41,14 @@
     pub fn is_settled(&self, now: TimePoint, time: Duration) -> bool {
         let alive = |update: &MemberUpdate| update.state == MemberState::Alive;
         now.since(self.changed_at) >= time
-            && !self.was_wronged(now - time)
+            && !self.was_declared_dead(now - time)
             && now.since(TimePoint::default()) >= time
             && self.members.values().all(|record| alive(&record.update))
     }
 
     /// Datagrams that spread a newly adopted view without waiting for the next probe: to `near` hosts
     /// of the own failure domain, and to `abroad` of each other one.
-    pub fn push_news(&mut self, near: usize, abroad: usize) -> Vec<TableOrder> {
+    pub fn push_updates(&mut self, near: usize, abroad: usize) -> Vec<TableAction> {
         let mut targets: Vec<MemberUpdate> = self
             .members
             .values()
@@ -67,7 +67,7 @@
         });
         let orders = targets.into_iter().map(|target| {
             let ping = self.message(0, ProbeKind::Ping);
-            TableOrder::Send(target.address, ping)
+            TableAction::Send(target.address, ping)
         });
         orders.collect()
     }
--- a/src/orders/order_step.rs
+++ b/src/orders/order_step.rs
@@ -32,7 +32,7 @@
 /// An engine that does not say when its life began, in its entry or in its report, is taken for the planned
 /// one: the id is all that there is to tell lives apart.
 pub fn order_step(planned: &ServerEntry, to: ServerStage, state: &EngineState) -> OrderStep {
-    let lives = planned.born.zip(state.born);
+    let lives = planned.started_at.zip(state.born);
     if lives.is_some_and(|(planned, reported)| planned != reported) {
         return OrderStep::Restarted;
     }
--- a/src/organisations/caller_permission.rs
+++ b/src/organisations/caller_permission.rs
@@ -17,9 +17,9 @@
     /// It needs a key and has none, or one that no organisation holds.
     UnknownKey,
     /// The same, but the key may be newer than the configuration in force.
-    AskFirst,
+    RefreshFirst,
     /// Its key may have been taken away: the configuration in force may be too old to tell.
-    TooOld,
+    ConfigTooOld,
 }
 
 /// Decides whether a request with the key `digest` may run now, by a configuration that was the newest
@@ -41,12 +41,12 @@
     let holder = digest.and_then(|digest| directory.holder(digest));
     let too_old = longest_age.is_some_and(|longest| age > longest);
     match (holder, is_public) {
-        (Some(_), false) if too_old => CallerPermission::TooOld,
+        (Some(_), false) if too_old => CallerPermission::ConfigTooOld,
         (Some(holder), _) if !too_old => CallerPermission::Granted(Arc::clone(holder)),
         (_, true) => CallerPermission::Anonymous,
         (None, false) if digest.is_none() => CallerPermission::UnknownKey,
-        (None, false) if too_old => CallerPermission::TooOld,
-        (None, false) if age > UNKNOWN_KEY_AGE => CallerPermission::AskFirst,
+        (None, false) if too_old => CallerPermission::ConfigTooOld,
+        (None, false) if age > UNKNOWN_KEY_AGE => CallerPermission::RefreshFirst,
         _ => CallerPermission::UnknownKey,
     }
 }
--- a/src/organisations/config_age.rs
+++ b/src/organisations/config_age.rs
@@ -9,14 +9,14 @@
 
 /// Asks another host how old its knowledge of the newest configuration is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AgeQuestion {
+pub struct AgeRequest {
     /// Pairs the answer with it.
     pub sequence: u32,
 }
 
 /// Answers it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AgeAnswer {
+pub struct AgeReply {
     /// Sequence of the question.
     pub sequence: u32,
     /// Version of the answering host's configuration.
@@ -45,43 +45,43 @@
 
     /// The configuration in force lacks no change acknowledged before `at`. A newer one that replaces
     /// it lacks none of them either.
-    pub fn note_complete(&mut self, at: TimePoint) {
+    pub fn record_complete(&mut self, at: TimePoint) {
         self.complete_at = self.complete_at.max(Some(at));
     }
 
     /// A question that leaves now.
-    pub fn question(&mut self, now: TimePoint) -> AgeQuestion {
+    pub fn next_request(&mut self, now: TimePoint) -> AgeRequest {
         self.sequence = self.sequence.wrapping_add(1);
         if self.open.len() == OPEN_QUESTIONS {
             self.open.pop_front();
         }
         self.open.push_back((self.sequence, now));
-        AgeQuestion { sequence: self.sequence }
+        AgeRequest { sequence: self.sequence }
     }
 
     /// What this host answers to a question, with the configuration `version` in force; nothing if it
     /// does not know its age.
-    pub fn answer(&self, now: TimePoint, question: AgeQuestion, version: u64) -> Option<AgeAnswer> {
+    pub fn reply(&self, now: TimePoint, question: AgeRequest, version: u64) -> Option<AgeReply> {
         let age = now.since(self.complete_at?);
         // Rounded up: a millisecond too old is safe.
         let age_ms = u32::try_from(age.as_millis() + 1).ok()?;
-        Some(AgeAnswer { sequence: question.sequence, version, age_ms })
+        Some(AgeReply { sequence: question.sequence, version, age_ms })
     }
 
     /// Takes over an answer, with the configuration `version` in force. One that speaks of a newer
     /// configuration says nothing of this one.
-    pub fn hear(&mut self, answer: AgeAnswer, version: u64) {
+    pub fn apply_reply(&mut self, answer: AgeReply, version: u64) {
         let place = self.open.iter().position(|(sequence, _)| *sequence == answer.sequence);
         let Some((_, asked_at)) = place.and_then(|place| self.open.remove(place)) else {
             return;
         };
         if answer.version <= version {
-            self.note_complete(asked_at - Duration::from_millis(answer.age_ms.into()));
+            self.record_complete(asked_at - Duration::from_millis(answer.age_ms.into()));
         }
     }
 
     /// Whether the last question has waited for its answer for at least `limit`.
-    pub fn is_unanswered(&self, now: TimePoint, limit: Duration) -> bool {
+    pub fn has_unanswered_request(&self, now: TimePoint, limit: Duration) -> bool {
         self.open.back().is_some_and(|(_, asked_at)| now.since(*asked_at) >= limit)
     }
 }
--- a/src/organisations/mod.rs
+++ b/src/organisations/mod.rs
@@ -12,6 +12,6 @@
 
 pub use caller_key::{KeyDigest, KeyHasher};
 pub use caller_permission::{CallerPermission, check_permission};
-pub use config_age::{AgeAnswer, AgeQuestion, ConfigAge};
+pub use config_age::{AgeReply, AgeRequest, ConfigAge};
 pub use org_directory::OrgDirectory;
 pub use organisation::{LimitUnit, OrgLimit, Organisation};
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -11,10 +11,10 @@
 mod view_fetches;
 
 pub use datagram::{open_datagram, seal_datagram};
-pub use peer_client::{PeerClient, PeerPatience};
+pub use peer_client::{PeerClient, PeerTimeouts};
 pub use peer_message::{
-    ClaimReply, HoldAsk, PeerReply, PeerRequest, PlaceAsk, PlaceOffers, PresentedReply, StartReply,
-    StopReport,
+    ClaimReply, HoldRequest, PeerReply, PeerRequest, PlaceOffers, PlaceRequest, PresentedReply,
+    StartReply, StopReport,
 };
 pub use peer_server::{PeerHandler, serve_peers};
 pub use proof::{prove_as_client, prove_as_server};
--- a/src/peers/peer_client.rs
+++ b/src/peers/peer_client.rs
@@ -20,7 +20,7 @@
 
 /// How long a call may take whose reply may be long.
 #[derive(Debug, Clone, Copy)]
-pub struct PeerPatience {
+pub struct PeerTimeouts {
     /// Until the reply begins.
     pub reply: Duration,
     /// Between two pieces of it, however many there are: a small host's link carries a megabyte in a second, and
@@ -69,7 +69,7 @@
         request: &Q,
         limit: Duration,
     ) -> Result<R> {
-        let patience = PeerPatience { reply: limit, pause: limit };
+        let patience = PeerTimeouts { reply: limit, pause: limit };
         let bytes = encode(request)?;
         let began = self.clock.now();
         let connected = tokio::time::timeout(limit, self.connection(address)).await;
@@ -91,7 +91,7 @@
         &self,
         address: SocketAddr,
         request: &Q,
-        patience: PeerPatience,
+        patience: PeerTimeouts,
         on_piece: impl Fn(),
     ) -> Result<R> {
         let bytes = encode(request)?;
@@ -114,7 +114,7 @@
         &self,
         connection: &PeerConnection,
         bytes: Vec<u8>,
-        patience: PeerPatience,
+        patience: PeerTimeouts,
         on_piece: impl Fn(),
     ) -> Result<Bytes> {
         let mut sender = within(patience.reply, connection.sender.clone().ready()).await??;
--- a/src/peers/peer_message.rs
+++ b/src/peers/peer_message.rs
@@ -9,7 +9,7 @@
 /// What a request wants, as the owners of books need to know it. Times are from now, since clocks
 /// are never agreed on.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct PlaceAsk {
+pub struct PlaceRequest {
     /// The attempt.
     pub attempt: AttemptId,
     /// Whose share it counts against.
@@ -47,7 +47,7 @@
 
 /// Asks for a decode slot and its link share.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct HoldAsk {
+pub struct HoldRequest {
     /// The decode server.
     pub server: ServerKey,
     /// The attempt.
@@ -110,11 +110,11 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerRequest {
     /// Quote for an attempt.
-    Quote(PlaceAsk),
+    Quote(PlaceRequest),
     /// Hold a decode slot.
-    Hold(HoldAsk),
+    Hold(HoldRequest),
     /// Queue at a prefill server; the reply waits for the start.
-    Enqueue(ServerKey, PlaceAsk),
+    Enqueue(ServerKey, PlaceRequest),
     /// An attempt's stay on a server changed.
     Report(ServerKey, AttemptId, StopReport),
     /// A new owner asks what this host's attempts claim on a server.
@@ -160,7 +160,7 @@
     /// The prefill may start, or not.
     Start(StartReply),
     /// Taken note.
-    Noted,
+    Acknowledged,
     /// Claims on a server.
     Claims(Vec<SlotClaim>),
     /// Those of the attempts that are still worked for.
--- a/src/peers/view_fetches.rs
+++ b/src/peers/view_fetches.rs
@@ -29,14 +29,14 @@
     }
 
     /// A piece has come.
-    pub fn note_piece(&mut self, now: TimePoint, address: SocketAddr) {
+    pub fn record_progress(&mut self, now: TimePoint, address: SocketAddr) {
         if let Some(at) = self.open.get_mut(&address) {
             *at = now;
         }
     }
 
     /// When something last came of any of the fetches under way, or one began.
-    pub fn moved_at(&self) -> Option<TimePoint> {
+    pub fn last_progress_at(&self) -> Option<TimePoint> {
         self.open.values().copied().max()
     }
 
--- a/src/platform/config_wire.rs
+++ b/src/platform/config_wire.rs
@@ -180,7 +180,7 @@
             time_limit: millis(wire.timeout_ms),
             objective: millis(wire.slo_ms),
             longest_pause: millis(wire.gap_aim_ms.unwrap_or_default()),
-            most_servers: wire.attempts.unwrap_or(1).max(1),
+            max_servers: wire.attempts.unwrap_or(1).max(1),
             resumable: wire.can_resume,
             is_public: wire.public,
             targets,
@@ -200,7 +200,7 @@
     fn from(wire: WireService) -> Self {
         Self {
             name: wire.name,
-            most_connections: wire.max_conns.unwrap_or(u32::MAX),
+            max_connections: wire.max_conns.unwrap_or(u32::MAX),
             cold_limit: ServerLimit::try_from(wire.cold_per_s)
                 .ok()
                 .filter(|limit| !limit.is_zero()),
@@ -215,9 +215,9 @@
             slots: wire.slots,
             memory_tokens: wire.kv_tokens,
             tokens_per_event: wire.stride.unwrap_or(1).max(1),
-            handle_life: Duration::from_secs_f64(wire.handle_ttl_s.unwrap_or_default().max(0.0)),
+            handle_ttl: Duration::from_secs_f64(wire.handle_ttl_s.unwrap_or_default().max(0.0)),
             stage_change: Duration::from_secs_f64(wire.role_switch_s.unwrap_or_default().max(0.0)),
-            longest_hold: millis(wire.hold_ms.unwrap_or_default()),
+            max_hold: millis(wire.hold_ms.unwrap_or_default()),
             backups: wire.backups,
         }
     }
--- a/src/platform/server_wire.rs
+++ b/src/platform/server_wire.rs
@@ -54,7 +54,7 @@
     }
     Ok(ServerEntry {
         id: object.name.clone(),
-        born: wire.born,
+        started_at: wire.born,
         service: ServiceKey::of(filled(&wire.service, "service")?),
         address: wire.address,
         domain: NameKey::of(filled(&wire.zone, "zone")?),
@@ -80,7 +80,7 @@
         return Ok(FleetChange::Removed(IdKey::of(&object.name)));
     }
     let entry = decode_server(object).map_err(|error| UnreadableObject::of(object, &error))?;
-    Ok(FleetChange::Stated(entry))
+    Ok(FleetChange::Updated(entry))
 }
 
 /// Decodes a listing of servers: their entries, and the objects that name none.
--- a/src/routes/route.rs
+++ b/src/routes/route.rs
@@ -43,7 +43,7 @@
     /// Longest pause between two events of a stream that is still in time; zero if none is set.
     pub longest_pause: Duration,
     /// Most backend servers that one request may be sent to.
-    pub most_servers: u32,
+    pub max_servers: u32,
     /// A stream may continue on another server after its last event.
     pub resumable: bool,
     /// Its callers need no key of an organisation.
--- a/src/routes/route_news.rs
+++ b/src/routes/route_update.rs
@@ -6,43 +6,44 @@
 
 /// A configuration as one host tells it to another: all of it, but for routes that the other one has.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct RouteNews {
+pub struct RouteUpdate {
     /// Its version.
     pub version: u64,
     /// Revision of the store at which it was written.
     pub revision: u64,
     limits: RequestLimits,
-    routes: ToldRoutes,
+    routes: SentRoutes,
     services: Vec<Arc<ServiceSpec>>,
     organisations: Vec<Arc<Organisation>>,
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-enum ToldRoutes {
+enum SentRoutes {
     All(Vec<Arc<Route>>),
     Changed(RouteChanges),
 }
 
-impl RouteNews {
+impl RouteUpdate {
     /// What a host needs to have `table`, written at `revision`, that has a table with the digest `known`, if it said so.
     pub fn of(table: &RouteTable, revision: u64, known: Option<&TableDigest>) -> Self {
         let parts = table.parts().clone();
-        let changed = known.and_then(|digest| digest.lacks(&parts.routes, table.route_hashes()));
+        let changed =
+            known.and_then(|digest| digest.missing_changes(&parts.routes, table.route_hashes()));
         Self {
             version: parts.version,
             revision,
             limits: parts.limits,
-            routes: changed.map_or(ToldRoutes::All(parts.routes), ToldRoutes::Changed),
+            routes: changed.map_or(SentRoutes::All(parts.routes), SentRoutes::Changed),
             services: parts.services,
             organisations: parts.organisations,
         }
     }
 
     /// How many routes it tells.
-    pub fn told_routes(&self) -> usize {
+    pub fn route_count(&self) -> usize {
         match &self.routes {
-            ToldRoutes::All(routes) => routes.len(),
-            ToldRoutes::Changed(changes) => changes.len(),
+            SentRoutes::All(routes) => routes.len(),
+            SentRoutes::Changed(changes) => changes.len(),
         }
     }
 
@@ -50,11 +51,11 @@
     ///
     /// # Errors
     /// If it does not fit `known`, or is no proper configuration.
-    pub fn applied(self, known: &RouteTable) -> Result<RouteTable> {
+    pub fn apply_to(self, known: &RouteTable) -> Result<RouteTable> {
         let routes = match self.routes {
-            ToldRoutes::All(routes) => Some(routes),
-            ToldRoutes::Changed(changes) => {
-                changes.applied(&known.parts().routes, known.route_hashes())
+            SentRoutes::All(routes) => Some(routes),
+            SentRoutes::Changed(changes) => {
+                changes.apply_to(&known.parts().routes, known.route_hashes())
             }
         };
         let routes = routes.ok_or_else(|| {
--- a/src/routes/service_spec.rs
+++ b/src/routes/service_spec.rs
@@ -12,7 +12,7 @@
     /// Its name.
     pub name: String,
     /// Most connections that one backend server takes from all hosts together.
-    pub most_connections: u32,
+    pub max_connections: u32,
     /// Requests a second that one of its servers bears from all hosts together while it is cold; `None` if it
     /// bears as many as when it is warm.
     pub cold_limit: Option<ServerLimit>,
@@ -30,11 +30,11 @@
     /// Tokens in one event of a stream.
     pub tokens_per_event: u32,
     /// How long the result of a prefill is kept for its decode server.
-    pub handle_life: Duration,
+    pub handle_ttl: Duration,
     /// How long an engine is away when it changes its stage.
     pub stage_change: Duration,
     /// Longest time that a slot and memory can be held; zero if engines grant no holds.
-    pub longest_hold: Duration,
+    pub max_hold: Duration,
     /// Whether engines can copy a running request's memory to another one as it grows.
     pub backups: bool,
 }
--- a/src/routes/table_digest.rs
+++ b/src/routes/table_digest.rs
@@ -54,7 +54,11 @@
     }
 
     /// What a host with this digest lacks of `routes`, which have `hashes`; nothing if the digest is of no table.
-    pub fn lacks(&self, routes: &[Arc<Route>], hashes: &[RouteHash]) -> Option<RouteChanges> {
+    pub fn missing_changes(
+        &self,
+        routes: &[Arc<Route>],
+        hashes: &[RouteHash],
+    ) -> Option<RouteChanges> {
         let count = self.buckets.len();
         if count == 0 || count > MOST_BUCKETS {
             return None;
@@ -95,7 +99,7 @@
     }
 
     /// The routes that result from `routes`, which have `hashes`; nothing if they are not those of the told table.
-    pub fn applied(self, routes: &[Arc<Route>], hashes: &[RouteHash]) -> Option<Vec<Arc<Route>>> {
+    pub fn apply_to(self, routes: &[Arc<Route>], hashes: &[RouteHash]) -> Option<Vec<Arc<Route>>> {
         let count = self.bucket_count as usize;
         if count == 0 {
             return None;
--- a/tests/cold_servers.rs
+++ b/tests/cold_servers.rs
@@ -19,7 +19,7 @@
 fn server(id: &str, cold_ms: u32) -> ServerEntry {
     ServerEntry {
         id: id.to_owned(),
-        born: Some(7),
+        started_at: Some(7),
         service: NameKey::of("app"),
         address: "127.0.0.1:1".parse().expect("an address"),
         domain: NameKey::of("a"),
@@ -63,14 +63,14 @@
 fn cold_time_left_told_to_other_hosts() {
     let mut first = FleetView::default();
     first.replace_all(at(0), 10, vec![server("a", 0), server("b", 0)]);
-    first.apply(at(0), 11, vec![FleetChange::Stated(server("c", COLD_MS))]);
+    first.apply(at(0), 11, vec![FleetChange::Updated(server("c", COLD_MS))]);
     assert_eq!(cold_ids(&first, at(100)), ["c"]);
     let mut second = FleetView::default();
-    second.adopt(at(2_000), first.news_since(at(2_000), 0));
+    second.apply_update(at(2_000), first.update_since(at(2_000), 0));
     assert_eq!(cold_ids(&second, at(2_900)), ["c"]);
     assert!(cold_ids(&second, at(3_000)).is_empty());
     first.apply(at(4_000), 12, vec![FleetChange::Removed(NameKey::of("c"))]);
-    first.apply(at(4_100), 13, vec![FleetChange::Stated(server("b", COLD_MS))]);
+    first.apply(at(4_100), 13, vec![FleetChange::Updated(server("b", COLD_MS))]);
     assert_eq!(cold_ids(&first, at(4_200)), ["b"], "a server may turn cold again");
 }
 
--- a/tests/first_views.rs
+++ b/tests/first_views.rs
@@ -2,47 +2,47 @@
 
 use rstest::rstest;
 use std::time::Duration;
-use tealcleat::fleet::{DutyView, WatchDuty, watch_duty};
+use tealcleat::fleet::{RoleInput, WatcherRole, watcher_role};
 use tealcleat::keys::mix_hash;
 
-mod duty_common;
+mod role_common;
 
-use duty_common::calm_view;
+use role_common::calm_input;
 
 /// A view that a host without one waits for.
-fn uninformed(for_ms: u64, handover_idle_ms: Option<u64>) -> DutyView {
-    DutyView {
-        uninformed_for: Some(Duration::from_millis(for_ms)),
+fn uninformed(for_ms: u64, handover_idle_ms: Option<u64>) -> RoleInput {
+    RoleInput {
+        without_view_for: Some(Duration::from_millis(for_ms)),
         handover_idle: handover_idle_ms.map(Duration::from_millis),
-        ..calm_view()
+        ..calm_input()
     }
 }
 
 /// Pattern: a whole fleet starts at once. A tenth of a second later nobody has met anybody, and a wait that grows with the
 /// hosts known is that of a small domain: all of 184 hosts listed.
 #[rstest]
-#[case::seeds_may_still_answer(true, 400, WatchDuty::Hear)]
-#[case::no_seed_answers(true, 560, WatchDuty::Watch)]
-#[case::others_are_known(false, 400, WatchDuty::Watch)]
+#[case::seeds_may_still_answer(true, 400, WatcherRole::Follow)]
+#[case::no_seed_answers(true, 560, WatcherRole::Watch)]
+#[case::others_are_known(false, 400, WatcherRole::Watch)]
 fn host_that_has_met_nobody_waits_for_its_seeds(
     #[case] is_alone: bool,
     #[case] for_ms: u64,
-    #[case] expected: WatchDuty,
+    #[case] expected: WatcherRole,
 ) {
-    assert_eq!(watch_duty(&DutyView { is_alone, ..uninformed(for_ms, None) }), expected);
+    assert_eq!(watcher_role(&RoleInput { is_alone, ..uninformed(for_ms, None) }), expected);
 }
 
 #[rstest]
-#[case::pieces_come(100, Some(20), WatchDuty::Hear)]
-#[case::pieces_have_stopped(400, Some(150), WatchDuty::Watch)]
-#[case::nobody_hands_over(100, None, WatchDuty::Watch)]
-#[case::neighbour_serves_too_many(3_000, Some(10), WatchDuty::Watch)]
+#[case::pieces_come(100, Some(20), WatcherRole::Follow)]
+#[case::pieces_have_stopped(400, Some(150), WatcherRole::Watch)]
+#[case::nobody_hands_over(100, None, WatcherRole::Watch)]
+#[case::neighbour_serves_too_many(3_000, Some(10), WatcherRole::Watch)]
 fn host_without_a_view_leaves_it_to_a_neighbour_that_hands_it_over(
     #[case] for_ms: u64,
     #[case] handover_idle_ms: Option<u64>,
-    #[case] expected: WatchDuty,
+    #[case] expected: WatcherRole,
 ) {
-    assert_eq!(watch_duty(&uninformed(for_ms, handover_idle_ms)), expected);
+    assert_eq!(watcher_role(&uninformed(for_ms, handover_idle_ms)), expected);
 }
 
 /// Pattern: hosts restart while all others go on. None lists the servers, however long it takes to hand a view over the
@@ -55,8 +55,8 @@
     let bytes_per_ms = 20_000_000 / 8 / 1000;
     let handed_over_ms = servers * 100 / bytes_per_ms;
     for millis in (0..handed_over_ms).step_by(10) {
-        let duty = watch_duty(&uninformed(millis, Some(millis % 20)));
-        assert_eq!(duty, WatchDuty::Hear, "after {millis} of {handed_over_ms} ms");
+        let duty = watcher_role(&uninformed(millis, Some(millis % 20)));
+        assert_eq!(duty, WatcherRole::Follow, "after {millis} of {handed_over_ms} ms");
     }
 }
 
@@ -65,12 +65,12 @@
     let mut begins = Vec::new();
     for host in 0..domain_hosts {
         let duty = |millis: &u64| {
-            let view = DutyView {
+            let view = RoleInput {
                 domain_hosts,
                 salt: mix_hash(7, host as u64),
                 ..uninformed(*millis, None)
             };
-            watch_duty(&view) == WatchDuty::Watch
+            watcher_role(&view) == WatcherRole::Watch
         };
         begins.push(Duration::from_millis((0..60_000).step_by(5).find(duty).expect("it lists")));
     }
--- a/tests/fleet_lives.rs
+++ b/tests/fleet_incarnations.rs
@@ -4,7 +4,7 @@
 use rstest::rstest;
 use std::time::Duration;
 use tealcleat::fleet::{
-    FleetChange, FleetView, LifeOutcome, ServerEntry, ServerStage, ServerState, StageChanges,
+    FleetChange, FleetView, IncarnationOutcome, ServerEntry, ServerStage, ServerState, StageChanges,
 };
 use tealcleat::keys::{NameKey, ServerKey, TimePoint};
 use tealcleat::orders::{ChangeOrders, EngineState, OrderStep, order_step};
@@ -19,7 +19,7 @@
 fn server(id: &str) -> ServerEntry {
     ServerEntry {
         id: id.to_owned(),
-        born: None,
+        started_at: None,
         service: NameKey::of("engines"),
         address: "127.0.0.1:1".parse().expect("an address"),
         domain: NameKey::of("a"),
@@ -30,25 +30,25 @@
     }
 }
 
-/// A server whose life began at `born`.
-fn life(id: &str, born: u64) -> ServerEntry {
-    ServerEntry { born: Some(born), ..server(id) }
+/// A server whose life began at `started_at`.
+fn life(id: &str, started_at: u64) -> ServerEntry {
+    ServerEntry { started_at: Some(started_at), ..server(id) }
 }
 
-fn view_of_life(id: &str, born: u64) -> FleetView {
+fn view_of_life(id: &str, started_at: u64) -> FleetView {
     let mut view = FleetView::default();
-    view.replace_all(at(0), 10, vec![life(id, born)]);
+    view.replace_all(at(0), 10, vec![life(id, started_at)]);
     view
 }
 
 /// When the lives began that a view has under an id.
 fn births(view: &FleetView, id: &str) -> Vec<Option<u64>> {
-    view.entries().filter(|entry| entry.id == id).map(|entry| entry.born).collect()
+    view.entries().filter(|entry| entry.id == id).map(|entry| entry.started_at).collect()
 }
 
 fn outage(view: &mut FleetView) {
-    view.note_store_heard(at(100), Duration::ZERO);
-    view.note_store_heard(at(5000), Duration::ZERO);
+    view.record_store_answer(at(100), Duration::ZERO);
+    view.record_store_answer(at(5000), Duration::ZERO);
 }
 
 #[test]
@@ -68,11 +68,11 @@
 #[rstest]
 #[case::both_say_it(Some(100))]
 #[case::first_start_said(None)]
-fn later_life_replaces_the_former_one(#[case] born: Option<u64>) {
-    let former = ServerEntry { born, ..server("a") };
+fn later_life_replaces_the_former_one(#[case] started_at: Option<u64>) {
+    let former = ServerEntry { started_at, ..server("a") };
     let mut view = FleetView::default();
     view.replace_all(at(0), 10, vec![former.clone()]);
-    view.apply(at(100), 11, vec![FleetChange::Stated(life("a", 200))]);
+    view.apply(at(100), 11, vec![FleetChange::Updated(life("a", 200))]);
     assert_eq!(births(&view, "a"), [Some(200)]);
     assert!(!view.is_ready(former.key()), "a choice made earlier");
     assert!(view.entry(former.key()).is_none());
@@ -81,16 +81,19 @@
 
 /// Whoever logs news and drops what is kept under a former key is told of both.
 #[rstest]
-#[case::restarted(200, Some(LifeOutcome::Restarted))]
+#[case::restarted(200, Some(IncarnationOutcome::Restarted))]
 #[case::the_same(100, None)]
-#[case::outdated(50, Some(LifeOutcome::Outdated))]
-fn news_of_another_life_returned(#[case] born: u64, #[case] expected: Option<LifeOutcome>) {
-    let listed = view_of_life("a", 100).replace_all(at(100), 11, vec![life("a", born)]);
-    let stated = FleetChange::Stated(life("a", born));
+#[case::outdated(50, Some(IncarnationOutcome::Outdated))]
+fn news_of_another_life_returned(
+    #[case] started_at: u64,
+    #[case] expected: Option<IncarnationOutcome>,
+) {
+    let listed = view_of_life("a", 100).replace_all(at(100), 11, vec![life("a", started_at)]);
+    let stated = FleetChange::Updated(life("a", started_at));
     let applied = view_of_life("a", 100).apply(at(100), 11, vec![stated.clone()]);
     let mut other = view_of_life("b", 1);
     other.apply(at(100), 11, vec![stated]);
-    let adopted = view_of_life("a", 100).adopt(at(100), other.news_since(at(100), 10));
+    let adopted = view_of_life("a", 100).apply_update(at(100), other.update_since(at(100), 10));
     for lives in [listed, applied, adopted] {
         assert_eq!(lives.first().map(|change| change.outcome), expected);
         assert!(lives.iter().all(|change| change.known == life("a", 100).key()));
@@ -103,7 +106,7 @@
     assert!(!view.has_restarted(&life("a", 100)));
     view.apply(at(100), 11, vec![FleetChange::Removed(ServerKey::of("a"))]);
     assert!(!view.has_restarted(&life("a", 100)), "it serves on for a while");
-    view.apply(at(200), 12, vec![FleetChange::Stated(life("a", 200))]);
+    view.apply(at(200), 12, vec![FleetChange::Updated(life("a", 200))]);
     assert!(view.has_restarted(&life("a", 100)));
 }
 
@@ -117,12 +120,12 @@
 #[case::next_life_busy(Some(200), true, ServerStage::Prefill, OrderStep::Restarted)]
 #[case::next_life_at_its_goal(Some(200), false, ServerStage::Decode, OrderStep::Restarted)]
 fn order_step_follows_the_report(
-    #[case] born: Option<u64>,
+    #[case] started_at: Option<u64>,
     #[case] busy: bool,
     #[case] stage: ServerStage,
     #[case] expected: OrderStep,
 ) {
-    let state = EngineState { born, stage: Some(stage), busy, orders_taken: 3 };
+    let state = EngineState { born: started_at, stage: Some(stage), busy, orders_taken: 3 };
     assert_eq!(order_step(&life("i-1", 100), ServerStage::Decode, &state), expected);
 }
 
@@ -130,24 +133,24 @@
 fn draining_life_replaced_by_one_that_is_ready() {
     let mut view = view_of_life("a", 100);
     let leaving = ServerEntry { state: ServerState::Draining, ..life("a", 100) };
-    view.apply(at(100), 11, vec![FleetChange::Stated(leaving)]);
-    view.apply(at(200), 12, vec![FleetChange::Stated(life("a", 200))]);
+    view.apply(at(100), 11, vec![FleetChange::Updated(leaving)]);
+    view.apply(at(200), 12, vec![FleetChange::Updated(life("a", 200))]);
     assert!(view.is_ready(life("a", 200).key()));
 }
 
 #[rstest]
 #[case::earlier(Some(100))]
 #[case::without_a_start(None)]
-fn earlier_life_changes_nothing(#[case] born: Option<u64>) {
-    let late = ServerEntry { born, state: ServerState::Draining, ..life("a", 100) };
+fn earlier_life_changes_nothing(#[case] started_at: Option<u64>) {
+    let late = ServerEntry { started_at, state: ServerState::Draining, ..life("a", 100) };
     let mut view = view_of_life("a", 200);
-    view.apply(at(100), 11, vec![FleetChange::Stated(late.clone())]);
+    view.apply(at(100), 11, vec![FleetChange::Updated(late.clone())]);
     assert_eq!(births(&view, "a"), [Some(200)]);
     assert!(view.is_ready(life("a", 200).key()));
     view.replace_all(at(200), 12, vec![late]);
     assert_eq!(births(&view, "a"), [Some(200)]);
     assert!(view.is_ready(life("a", 200).key()));
-    assert!(view.news_since(at(300), 10).servers.is_empty(), "nothing to tell");
+    assert!(view.update_since(at(300), 10).servers.is_empty(), "nothing to tell");
 }
 
 #[test]
@@ -164,7 +167,7 @@
     outage(&mut view);
     view.apply(at(5010), 12, vec![FleetChange::Removed(ServerKey::of("a"))]);
     assert!(view.is_ready(life("a", 100).key()), "it may come back");
-    view.apply(at(5500), 13, vec![FleetChange::Stated(life("a", 200))]);
+    view.apply(at(5500), 13, vec![FleetChange::Updated(life("a", 200))]);
     assert_eq!(births(&view, "a"), [Some(200)]);
     assert!(!view.is_ready(life("a", 100).key()));
     assert!(view.expire(at(9000)).is_empty(), "the new life has not lapsed");
@@ -187,7 +190,7 @@
     view.apply(at(5010), 12, vec![FleetChange::Removed(ServerKey::of("a"))]);
     assert_eq!(view.expire(at(9000)), [life("a", 100)]);
     let mut behind = view_of_life("a", 100);
-    behind.adopt(at(9000), view.news_since(at(9000), 10));
+    behind.apply_update(at(9000), view.update_since(at(9000), 10));
     assert!(births(&behind, "a").is_empty());
 }
 
@@ -195,11 +198,11 @@
 fn partial_news_replace_the_former_life() {
     let mut first = view_of_life("a", 100);
     let mut second = view_of_life("a", 100);
-    first.apply(at(100), 11, vec![FleetChange::Stated(life("a", 200))]);
-    let news = first.news_since(at(200), second.revision());
+    first.apply(at(100), 11, vec![FleetChange::Updated(life("a", 200))]);
+    let news = first.update_since(at(200), second.revision());
     assert!(news.is_partial);
     assert!(news.removed.is_empty(), "the id is still there");
-    second.adopt(at(200), news);
+    second.apply_update(at(200), news);
     assert_eq!(births(&second, "a"), [Some(200)]);
     assert!(!second.is_ready(life("a", 100).key()));
 }
@@ -209,7 +212,7 @@
     let mut first = view_of_life("a", 200);
     let mut second = view_of_life("a", 100);
     first.apply(at(100), 11, vec![FleetChange::Removed(ServerKey::of("a"))]);
-    second.adopt(at(200), first.news_since(at(200), 10));
+    second.apply_update(at(200), first.update_since(at(200), 10));
     assert!(births(&second, "a").is_empty());
 }
 
@@ -219,10 +222,10 @@
     let mut first = view_of_life("a", 100);
     let mut second = view_of_life("a", 100);
     first.apply(at(100), 11, vec![FleetChange::Removed(ServerKey::of("a"))]);
-    first.apply(at(200), 12, vec![FleetChange::Stated(life("a", 200))]);
-    let news = first.news_since(at(300), 10);
+    first.apply(at(200), 12, vec![FleetChange::Updated(life("a", 200))]);
+    let news = first.update_since(at(300), 10);
     assert_eq!((news.servers.len(), news.removed.len()), (1, 0));
-    second.adopt(at(300), news);
+    second.apply_update(at(300), news);
     assert_eq!(births(&second, "a"), [Some(200)]);
 }
 
@@ -232,11 +235,11 @@
 #[case::changes(10)]
 fn news_of_an_earlier_life_change_nothing(#[case] since: u64) {
     let mut first = view_of_life("a", 100);
-    first.apply(at(100), 12, vec![FleetChange::Stated(life("b", 50))]);
+    first.apply(at(100), 12, vec![FleetChange::Updated(life("b", 50))]);
     let late = ServerEntry { slots: 9, ..life("a", 100) };
-    first.apply(at(200), 13, vec![FleetChange::Stated(late)]);
+    first.apply(at(200), 13, vec![FleetChange::Updated(late)]);
     let mut second = view_of_life("a", 200);
-    second.adopt(at(300), first.news_since(at(300), since));
+    second.apply_update(at(300), first.update_since(at(300), since));
     assert_eq!(births(&second, "a"), [Some(200)]);
     assert_eq!(births(&second, "b"), [Some(50)]);
     assert!(second.is_ready(life("a", 200).key()));
@@ -253,11 +256,11 @@
     orders.note_open(at(0), former.key(), ServerStage::Decode, CHANGE_TIME);
     orders.note_failed(at(0), former.key());
     let mut changes = StageChanges::default();
-    changes.note_ordered(former.key(), ServerStage::Decode);
-    changes.note_heard(at(0), former.key(), ServerStage::Decode);
-    changes.note_suspected(at(0), former.key());
+    changes.record_order(former.key(), ServerStage::Decode);
+    changes.record_announcement(at(0), former.key(), ServerStage::Decode);
+    changes.record_suspicion(at(0), former.key());
     assert!(changes.is_changing(at(10), &former));
-    fleet.apply(at(20), 11, vec![FleetChange::Stated(next.clone())]);
+    fleet.apply(at(20), 11, vec![FleetChange::Updated(next.clone())]);
     orders.forget(at(30), |key| fleet.entry(key).map(|entry| entry.stage));
     assert_eq!(orders.open_count(), 0);
     assert_eq!(orders.heads_to(next.key()), None);
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -12,7 +12,7 @@
 fn server(id: &str, state: ServerState) -> ServerEntry {
     ServerEntry {
         id: id.to_owned(),
-        born: None,
+        started_at: None,
         service: NameKey::of("app"),
         address: "127.0.0.1:1".parse().expect("an address"),
         domain: NameKey::of("a"),
@@ -41,12 +41,12 @@
 #[test]
 fn unusable_entry_takes_effect_at_once_near_an_outage() {
     let mut view = view_of(&["a", "b"]);
-    view.note_store_heard(at(0), Duration::ZERO);
-    view.note_store_heard(at(5000), Duration::ZERO);
+    view.record_store_answer(at(0), Duration::ZERO);
+    view.record_store_answer(at(5000), Duration::ZERO);
     view.apply(at(5010), 12, vec![FleetChange::Unusable(ServerKey::of("a"))]);
     assert_eq!(ready_ids(&view), ["b"]);
     assert_eq!(view.revision(), 12);
-    let news = view.news_since(at(5020), 10);
+    let news = view.update_since(at(5020), 10);
     assert_eq!(news.removed, [(ServerKey::of("a"), 12)]);
 }
 
@@ -54,8 +54,8 @@
 #[test]
 fn unusable_entry_of_a_listing_ends_a_lapse() {
     let mut view = view_of(&["a", "b"]);
-    view.note_store_heard(at(0), Duration::ZERO);
-    view.note_store_heard(at(5000), Duration::ZERO);
+    view.record_store_answer(at(0), Duration::ZERO);
+    view.record_store_answer(at(5000), Duration::ZERO);
     view.replace_all(at(5010), 12, Vec::new());
     assert_eq!(ready_ids(&view), ["a", "b"]);
     view.apply(at(5010), 12, vec![FleetChange::Unusable(ServerKey::of("a"))]);
@@ -68,7 +68,7 @@
     view.apply(at(100), 12, vec![FleetChange::Unusable(ServerKey::of("c"))]);
     assert_eq!(ready_ids(&view), ["a"]);
     assert_eq!(view.revision(), 12);
-    assert_eq!(view.news_since(at(100), 10).removed, []);
+    assert_eq!(view.update_since(at(100), 10).removed, []);
 }
 
 #[test]
@@ -81,15 +81,15 @@
 #[test]
 fn draining_server_gets_no_new_work() {
     let mut view = view_of(&["a", "b"]);
-    view.apply(at(100), 11, vec![FleetChange::Stated(server("a", ServerState::Draining))]);
+    view.apply(at(100), 11, vec![FleetChange::Updated(server("a", ServerState::Draining))]);
     assert_eq!(ready_ids(&view), ["b"]);
 }
 
 #[test]
 fn lapse_near_outage_waits_for_its_return() {
     let mut view = view_of(&["a", "b"]);
-    view.note_store_heard(at(100), Duration::ZERO);
-    view.note_store_heard(at(5000), Duration::ZERO);
+    view.record_store_answer(at(100), Duration::ZERO);
+    view.record_store_answer(at(5000), Duration::ZERO);
     view.apply(at(5010), 12, vec![FleetChange::Removed(ServerKey::of("a"))]);
     assert_eq!(ready_ids(&view), ["a", "b"], "it may come back");
     assert!(view.expire(at(6900)).is_empty());
@@ -103,9 +103,9 @@
 fn removal_after_own_refusal_takes_effect_at_once() {
     let mut view = view_of(&["a", "b"]);
     for second in 0..10 {
-        view.note_store_heard(at(second * 1000), Duration::from_millis(400));
+        view.record_store_answer(at(second * 1000), Duration::from_millis(400));
     }
-    view.note_store_heard(at(9500), Duration::ZERO);
+    view.record_store_answer(at(9500), Duration::ZERO);
     view.apply(at(9800), 12, vec![FleetChange::Removed(ServerKey::of("a"))]);
     assert_eq!(ready_ids(&view), ["b"]);
 }
@@ -113,9 +113,9 @@
 #[test]
 fn lapse_waits_at_hosts_that_only_heard_of_the_return() {
     let mut view = view_of(&["a", "b"]);
-    view.note_store_heard(at(100), Duration::ZERO);
-    view.note_store_heard(at(5200), Duration::from_millis(200));
-    view.note_store_heard(at(5300), Duration::ZERO);
+    view.record_store_answer(at(100), Duration::ZERO);
+    view.record_store_answer(at(5200), Duration::from_millis(200));
+    view.record_store_answer(at(5300), Duration::ZERO);
     view.apply(at(5310), 12, vec![FleetChange::Removed(ServerKey::of("a"))]);
     assert_eq!(ready_ids(&view), ["a", "b"], "it may come back");
     assert_eq!(view.expire(at(7250)).len(), 1, "2.2 s after the store's return");
@@ -124,10 +124,10 @@
 #[test]
 fn lapsed_entry_that_returns_stays() {
     let mut view = view_of(&["a"]);
-    view.note_store_heard(at(100), Duration::ZERO);
-    view.note_store_heard(at(5000), Duration::ZERO);
+    view.record_store_answer(at(100), Duration::ZERO);
+    view.record_store_answer(at(5000), Duration::ZERO);
     view.apply(at(5010), 12, vec![FleetChange::Removed(ServerKey::of("a"))]);
-    view.apply(at(5900), 13, vec![FleetChange::Stated(server("a", ServerState::Ready))]);
+    view.apply(at(5900), 13, vec![FleetChange::Updated(server("a", ServerState::Ready))]);
     assert!(view.expire(at(20_000)).is_empty());
     assert_eq!(ready_ids(&view), ["a"]);
 }
@@ -135,9 +135,9 @@
 #[test]
 fn draining_server_that_goes_near_outage_is_gone() {
     let mut view = view_of(&["a", "b"]);
-    view.apply(at(100), 11, vec![FleetChange::Stated(server("a", ServerState::Draining))]);
-    view.note_store_heard(at(100), Duration::ZERO);
-    view.note_store_heard(at(5000), Duration::ZERO);
+    view.apply(at(100), 11, vec![FleetChange::Updated(server("a", ServerState::Draining))]);
+    view.record_store_answer(at(100), Duration::ZERO);
+    view.record_store_answer(at(5000), Duration::ZERO);
     view.apply(at(5010), 12, vec![FleetChange::Removed(ServerKey::of("a"))]);
     assert!(view.entry(ServerKey::of("a")).is_none());
 }
@@ -153,11 +153,11 @@
 #[test]
 fn adopted_view_keeps_the_time_left_of_lapses() {
     let mut first = view_of(&["a", "b"]);
-    first.note_store_heard(at(100), Duration::ZERO);
-    first.note_store_heard(at(5000), Duration::ZERO);
+    first.record_store_answer(at(100), Duration::ZERO);
+    first.record_store_answer(at(5000), Duration::ZERO);
     first.apply(at(5010), 12, vec![FleetChange::Removed(ServerKey::of("a"))]);
     let mut second = view_of(&["a", "b"]);
-    second.adopt(at(100), first.news_since(at(6000), 0));
+    second.apply_update(at(100), first.update_since(at(6000), 0));
     assert_eq!(ready_ids(&second), ["a", "b"]);
     assert!(second.expire(at(1200)).is_empty());
     assert_eq!(second.expire(at(1400)).len(), 1, "1.2 s were left");
@@ -171,13 +171,13 @@
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut first = view_of(&names);
     let mut second = FleetView::default();
-    second.adopt(at(0), first.news_since(at(0), second.revision()));
+    second.apply_update(at(0), first.update_since(at(0), second.revision()));
     first.apply(at(100), 11, vec![FleetChange::Removed(ServerKey::of("server-7"))]);
-    first.apply(at(200), 14, vec![FleetChange::Stated(server("server-8", ServerState::Draining))]);
-    let news = first.news_since(at(300), second.revision());
+    first.apply(at(200), 14, vec![FleetChange::Updated(server("server-8", ServerState::Draining))]);
+    let news = first.update_since(at(300), second.revision());
     assert!(news.is_partial);
     assert_eq!((news.servers.len(), news.removed.len()), (1, 1));
-    second.adopt(at(300), news);
+    second.apply_update(at(300), news);
     assert_eq!(ready_ids(&second), ready_ids(&first));
     assert_eq!(second.revision(), 14);
 }
@@ -186,10 +186,10 @@
 fn news_since_an_unknown_revision_tells_all() {
     let mut view = view_of(&["a", "b"]);
     view.apply(at(100), 11, vec![FleetChange::Removed(ServerKey::of("a"))]);
-    let news = view.news_since(at(200), 9);
+    let news = view.update_since(at(200), 9);
     assert!(!news.is_partial, "changes before the listing at 10 are not known one by one");
     let mut behind = view_of(&["a", "c"]);
-    behind.adopt(at(200), news);
+    behind.apply_update(at(200), news);
     assert_eq!(ready_ids(&behind), ["b"]);
 }
 
@@ -198,12 +198,12 @@
     let mut first = view_of(&["a", "b", "c"]);
     let mut second = view_of(&["a", "b", "c"]);
     first.apply(at(100), 11, vec![FleetChange::Removed(ServerKey::of("a"))]);
-    first.apply(at(200), 12, vec![FleetChange::Stated(server("a", ServerState::Ready))]);
-    first.note_store_heard(at(300), Duration::ZERO);
-    first.note_store_heard(at(5000), Duration::ZERO);
+    first.apply(at(200), 12, vec![FleetChange::Updated(server("a", ServerState::Ready))]);
+    first.record_store_answer(at(300), Duration::ZERO);
+    first.record_store_answer(at(5000), Duration::ZERO);
     first.apply(at(5010), 13, vec![FleetChange::Removed(ServerKey::of("b"))]);
     assert_eq!(first.expire(at(9000)).len(), 1);
-    second.adopt(at(9000), first.news_since(at(9000), 10));
+    second.apply_update(at(9000), first.update_since(at(9000), 10));
     assert_eq!(ready_ids(&second), ["a", "c"]);
 }
 
@@ -213,9 +213,9 @@
     let mut first = view_of(&["a", "b"]);
     let mut second = view_of(&["a", "b"]);
     first.replace_all(at(100), 20, vec![server("b", ServerState::Ready)]);
-    let news = first.news_since(at(200), 10);
+    let news = first.update_since(at(200), 10);
     assert!(news.is_partial);
-    second.adopt(at(200), news);
+    second.apply_update(at(200), news);
     assert_eq!(ready_ids(&second), ["b"]);
 }
 
--- a/tests/foreign_lists.rs
+++ b/tests/foreign_lists.rs
@@ -156,7 +156,7 @@
         let site = site_of(1).await;
         let host = &site.hosts[0].host;
         let back_at = host.now() + OUTAGE;
-        host.state().fleet.note_store_heard(back_at, Duration::ZERO);
+        host.state().fleet.record_store_answer(back_at, Duration::ZERO);
         site.store.change(|objects| {
             objects.set_raw_spec(SERVERS_KIND, KNOWN, b"\"\xff\"");
             objects.remove(SERVERS_KIND, MISSING);
--- a/tests/many_changes.rs
+++ b/tests/many_changes.rs
@@ -27,10 +27,10 @@
 }
 
 /// Orders the changes again: a daemon that does not give the orders forgets them, and so does one that finds no engine there.
-fn note_ordered(site: &TestSite) {
+fn record_order(site: &TestSite) {
     let mut state = site.hosts[0].host.state();
     for place in 0..CHANGES {
-        state.changes.note_ordered(server(place), ServerStage::Decode);
+        state.changes.record_order(server(place), ServerStage::Decode);
     }
 }
 
@@ -53,11 +53,11 @@
         while known < CHANGES as usize {
             looks += 1;
             assert!(looks < MOST_LOOKS, "{}", waiting(&site, known));
-            note_ordered(&site);
+            record_order(&site);
             site.hosts[0].host.tell_everyone();
             tokio::time::sleep(LOOK).await;
             let host = &site.hosts[1].host;
-            known = host.state().changes.heard(host.now()).count();
+            known = host.state().changes.announced(host.now()).count();
         }
     });
 }
@@ -72,7 +72,7 @@
         while known == 0 {
             looks += 1;
             assert!(looks < MOST_LOOKS, "{}", waiting(&site, known as usize));
-            note_ordered(&site);
+            record_order(&site);
             site.hosts[0].host.state().board.add(server(CHANGES), load);
             tokio::time::sleep(LOOK).await;
             known = site.hosts[1].host.state().board.total(server(CHANGES)).requests;
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tealcleat::keys::{IncarnationId, NameKey, TimePoint};
 use tealcleat::membership::{
-    MemberTable, MemberUpdate, ProbeKind, ProbeMessage, TableOrder, ViewMark,
+    MemberTable, MemberUpdate, ProbeKind, ProbeMessage, TableAction, ViewMark,
 };
 
 const DOMAINS: [&str; 5] = ["a", "b", "c", "d", "e"];
@@ -32,10 +32,10 @@
     table
 }
 
-fn domains_of(orders: &[TableOrder]) -> HashMap<usize, usize> {
+fn domains_of(orders: &[TableAction]) -> HashMap<usize, usize> {
     let mut counts = HashMap::new();
     for order in orders {
-        if let TableOrder::Send(address, _) = order {
+        if let TableAction::Send(address, _) = order {
             *counts.entry(usize::from(address.port()) % DOMAINS.len()).or_default() += 1;
         }
     }
@@ -46,13 +46,13 @@
 /// views fetched after them, cross a failure domain.
 #[test]
 fn push_news_stays_in_the_own_domain() {
-    let counts = domains_of(&table(294).push_news(3, 0));
+    let counts = domains_of(&table(294).push_updates(3, 0));
     assert_eq!(counts, HashMap::from([(1, 3)]));
 }
 
 #[test]
 fn push_news_of_a_watcher_reaches_each_domain() {
-    let counts = domains_of(&table(294).push_news(3, 2));
+    let counts = domains_of(&table(294).push_updates(3, 2));
     assert_eq!(counts, HashMap::from([(0, 2), (1, 3), (2, 2), (3, 2), (4, 2)]));
 }
 
@@ -69,7 +69,7 @@
 
 fn compares(table: &mut MemberTable, now: TimePoint, sender: u16) -> bool {
     let orders = table.receive(now, &differing(sender));
-    orders.iter().any(|order| matches!(order, TableOrder::Compare(_)))
+    orders.iter().any(|order| matches!(order, TableAction::Compare(_)))
 }
 
 /// Pattern: hosts that restart in turn, one each second. Tables that differ for a while then are no
@@ -109,9 +109,9 @@
     let all = table.reachable(at(0)).count();
     assert_eq!(all, 50, "nothing was heard of anybody yet");
     for host in [2, 3] {
-        table.note_heard(at(1000), IncarnationId(host));
+        table.record_received(at(1000), IncarnationId(host));
     }
-    table.note_heard(at(3500), IncarnationId(3));
+    table.record_received(at(3500), IncarnationId(3));
     let reached: Vec<NameKey> = table.reachable(at(4200)).map(|member| member.domain).collect();
     assert!(!reached.contains(&NameKey::of("c")), "host 2 was last heard 3.2 s ago");
     assert!(reached.contains(&NameKey::of("d")));
@@ -126,11 +126,11 @@
     let mut table = table(4);
     let all = |_host| true;
     let second = |host| host == IncarnationId(2);
-    assert_eq!(table.unheard_for(at(700), all), Some(Duration::from_millis(700)));
-    table.note_heard(at(1000), IncarnationId(3));
-    assert_eq!(table.unheard_for(at(1500), all), Some(Duration::from_millis(500)));
-    assert_eq!(table.unheard_for(at(1500), second), Some(Duration::from_millis(1500)));
-    assert_eq!(table.unheard_for(at(1500), |host| host == IncarnationId(99)), None);
+    assert_eq!(table.silent_for(at(700), all), Some(Duration::from_millis(700)));
+    table.record_received(at(1000), IncarnationId(3));
+    assert_eq!(table.silent_for(at(1500), all), Some(Duration::from_millis(500)));
+    assert_eq!(table.silent_for(at(1500), second), Some(Duration::from_millis(1500)));
+    assert_eq!(table.silent_for(at(1500), |host| host == IncarnationId(99)), None);
     let lone = MemberTable::new(member(1), Vec::new(), 7);
-    assert_eq!(lone.unheard_for(at(1500), all), None, "there is nobody to be heard");
+    assert_eq!(lone.silent_for(at(1500), all), None, "there is nobody to be heard");
 }
--- a/tests/message_sizes.rs
+++ b/tests/message_sizes.rs
@@ -16,7 +16,7 @@
 fn server(place: usize) -> ServerEntry {
     ServerEntry {
         id: format!("i-{place:010x}"),
-        born: Some(1_792_691_007_128 + place as u64),
+        started_at: Some(1_792_691_007_128 + place as u64),
         service: NameKey::of("engines"),
         address: address(place),
         domain: NameKey::of("a"),
@@ -37,7 +37,7 @@
     let now = TimePoint::from_millis(1);
     let mut view = FleetView::default();
     view.replace_all(now, 12_000, (0..1_000).map(server).collect());
-    let whole = bytes(&view.news_since(now, 0));
+    let whole = bytes(&view.update_since(now, 0));
     assert!(whole / 1_000 <= 80, "{} bytes a server", whole / 1_000);
 }
 
--- a/tests/organisations.rs
+++ b/tests/organisations.rs
@@ -6,7 +6,7 @@
 use tealcleat::bench::site::keyed_config;
 use tealcleat::keys::TimePoint;
 use tealcleat::organisations::{
-    AgeAnswer, CallerPermission, ConfigAge, KeyDigest, KeyHasher, LimitUnit, OrgDirectory,
+    AgeReply, CallerPermission, ConfigAge, KeyDigest, KeyHasher, LimitUnit, OrgDirectory,
     Organisation, check_permission,
 };
 use tealcleat::platform::decode_config;
@@ -27,8 +27,8 @@
         CallerPermission::Anonymous => "anonymous",
         CallerPermission::Granted(organisation) => &organisation.name,
         CallerPermission::UnknownKey => "unknown_key",
-        CallerPermission::AskFirst => "ask_first",
-        CallerPermission::TooOld => "too_old",
+        CallerPermission::RefreshFirst => "ask_first",
+        CallerPermission::ConfigTooOld => "too_old",
     }
 }
 
@@ -135,47 +135,47 @@
 fn age_counts_from_the_question() {
     let mut age = ConfigAge::default();
     assert_eq!(age.age(at(1000)), Duration::MAX);
-    let question = age.question(at(1000));
+    let question = age.next_request(at(1000));
     // The answer lay in a buffer for 4 s while this host was suspended.
-    age.hear(AgeAnswer { sequence: question.sequence, version: 7, age_ms: 300 }, 7);
+    age.apply_reply(AgeReply { sequence: question.sequence, version: 7, age_ms: 300 }, 7);
     assert_eq!(age.age(at(5000)), Duration::from_millis(4300));
 }
 
 #[test]
 fn age_unasked_proves_nothing() {
     let mut age = ConfigAge::default();
-    let question = age.question(at(1000));
-    let answer = AgeAnswer { sequence: question.sequence, version: 7, age_ms: 300 };
-    age.hear(AgeAnswer { sequence: question.sequence + 1, ..answer }, 7);
+    let question = age.next_request(at(1000));
+    let answer = AgeReply { sequence: question.sequence, version: 7, age_ms: 300 };
+    age.apply_reply(AgeReply { sequence: question.sequence + 1, ..answer }, 7);
     assert_eq!(age.age(at(1100)), Duration::MAX);
-    age.hear(answer, 7);
+    age.apply_reply(answer, 7);
     let heard = age.age(at(2000));
     // A doubled answer settles nothing twice.
-    age.hear(AgeAnswer { age_ms: 0, ..answer }, 7);
+    age.apply_reply(AgeReply { age_ms: 0, ..answer }, 7);
     assert_eq!(age.age(at(2000)), heard);
 }
 
 #[test]
 fn age_of_a_newer_configuration_does_not_count() {
     let mut age = ConfigAge::default();
-    let question = age.question(at(1000));
-    age.hear(AgeAnswer { sequence: question.sequence, version: 8, age_ms: 10 }, 7);
+    let question = age.next_request(at(1000));
+    age.apply_reply(AgeReply { sequence: question.sequence, version: 8, age_ms: 10 }, 7);
     assert_eq!(age.age(at(1100)), Duration::MAX);
-    let question = age.question(at(1200));
-    age.hear(AgeAnswer { sequence: question.sequence, version: 6, age_ms: 10 }, 7);
+    let question = age.next_request(at(1200));
+    age.apply_reply(AgeReply { sequence: question.sequence, version: 6, age_ms: 10 }, 7);
     assert_eq!(age.age(at(1300)), Duration::from_millis(110));
 }
 
 #[test]
 fn answer_never_makes_an_age_younger() {
     let mut asked = ConfigAge::default();
-    let question = ConfigAge::default().question(at(0));
-    assert_eq!(asked.answer(at(500), question, 7), None);
-    asked.note_complete(at(400));
-    let answer = asked.answer(at(500), question, 7).expect("it knows");
+    let question = ConfigAge::default().next_request(at(0));
+    assert_eq!(asked.reply(at(500), question, 7), None);
+    asked.record_complete(at(400));
+    let answer = asked.reply(at(500), question, 7).expect("it knows");
     assert!(Duration::from_millis(answer.age_ms.into()) >= asked.age(at(500)));
     // What comes late does not make it older.
-    asked.note_complete(at(300));
+    asked.record_complete(at(300));
     assert_eq!(asked.age(at(500)), Duration::from_millis(100));
 }
 
@@ -184,6 +184,6 @@
 #[case::late(1400, true)]
 fn question_unanswered_after_a_while(#[case] now_ms: u64, #[case] expected: bool) {
     let mut age = ConfigAge::default();
-    age.question(at(1000));
-    assert_eq!(age.is_unanswered(at(now_ms), Duration::from_millis(300)), expected);
+    age.next_request(at(1000));
+    assert_eq!(age.has_unanswered_request(at(now_ms), Duration::from_millis(300)), expected);
 }
--- a/tests/owner_terms.rs
+++ b/tests/owner_terms.rs
@@ -122,7 +122,8 @@
 }
 
 fn is_owner_since(table: &MemberTable, since: TimePoint) -> bool {
-    !table.was_wronged(since) && has_owned(org(), table.own().incarnation, table.records(), since)
+    !table.was_declared_dead(since)
+        && has_owned(org(), table.own().incarnation, table.records(), since)
 }
 
 fn dead(table: &MemberTable) -> Vec<MemberUpdate> {
--- a/tests/duty_common/mod.rs
+++ b/tests/role_common/mod.rs
@@ -1,21 +1,21 @@
 //! What decides whether a host asks the store itself, shared by tests.
 
 use std::time::Duration;
-use tealcleat::fleet::DutyView;
+use tealcleat::fleet::RoleInput;
 
 /// A host of a small failure domain that lacks nothing and hears from the others what is new.
-pub fn calm_view() -> DutyView {
-    DutyView {
-        uninformed_for: None,
+pub fn calm_input() -> RoleInput {
+    RoleInput {
+        without_view_for: None,
         is_alone: false,
         handover_idle: None,
         elected: false,
-        answered_for: None,
+        store_answered_for: None,
         view_age: Duration::ZERO,
         behind_for: None,
-        unheard_for: None,
+        silent_for: None,
         config_age: None,
-        refused_for: None,
+        store_refused_for: None,
         domain_hosts: 3,
         salt: 1234,
     }
--- a/tests/room_search.rs
+++ b/tests/room_search.rs
@@ -70,7 +70,7 @@
 fn server(place: usize) -> ServerEntry {
     ServerEntry {
         id: format!("decode-{place}"),
-        born: None,
+        started_at: None,
         service: NameKey::of("engines"),
         address: "127.0.0.1:1".parse().expect("an address"),
         domain: NameKey::of(DOMAINS[place % DOMAINS.len()]),
--- a/tests/route_news.rs
+++ b/tests/route_updates.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tealcleat::peers::encode;
 use tealcleat::routes::{
-    Route, RouteKind, RouteNews, RouteParts, RouteTable, RouteTarget, ServiceKey,
+    Route, RouteKind, RouteParts, RouteTable, RouteTarget, RouteUpdate, ServiceKey,
 };
 
 const REVISION: u64 = 77;
@@ -23,7 +23,7 @@
         time_limit: Duration::from_secs(20),
         objective: Duration::from_secs(2),
         longest_pause: Duration::ZERO,
-        most_servers: 2,
+        max_servers: 2,
         resumable: false,
         is_public: false,
         targets: vec![RouteTarget { service: ServiceKey::of(service), weight: 1 }],
@@ -65,8 +65,8 @@
         let routes: Vec<_> = (0..count).map(|name| route(name, "app")).collect();
         let known = table(3, routes.clone());
         let newer = table(9, changed(&mut random, &routes, part));
-        let news = RouteNews::of(&newer, REVISION, known.digest().as_ref());
-        let told = news.applied(&known).expect("it fits");
+        let news = RouteUpdate::of(&newer, REVISION, known.digest().as_ref());
+        let told = news.apply_to(&known).expect("it fits");
         assert_eq!(told.version(), 9);
         assert_eq!(by_name(&told), by_name(&newer), "seed {seed}");
     }
@@ -79,10 +79,10 @@
     routes[17] = route(17, "another");
     let newer = table(4, routes);
     let digest = known.digest();
-    let news = RouteNews::of(&newer, REVISION, digest.as_ref());
-    let whole = encode(&RouteNews::of(&newer, REVISION, None)).expect("encoded").len();
+    let news = RouteUpdate::of(&newer, REVISION, digest.as_ref());
+    let whole = encode(&RouteUpdate::of(&newer, REVISION, None)).expect("encoded").len();
     let told = encode(&news).expect("encoded").len() + encode(&digest).expect("encoded").len();
-    assert!(news.told_routes() < 40, "{}", news.told_routes());
+    assert!(news.route_count() < 40, "{}", news.route_count());
     assert!(told * 20 < whole, "{told} of {whole} bytes");
 }
 
@@ -93,8 +93,8 @@
     let known = table(3, routes.clone());
     let mut newer = routes.clone();
     newer.push(route(300, "app"));
-    let news = RouteNews::of(&table(4, newer), REVISION, known.digest().as_ref());
+    let news = RouteUpdate::of(&table(4, newer), REVISION, known.digest().as_ref());
     let mut other = routes;
     other[5] = route(5, "another");
-    assert!(news.applied(&table(3, other)).is_err());
+    assert!(news.apply_to(&table(3, other)).is_err());
 }
--- a/tests/server_choice.rs
+++ b/tests/server_choice.rs
@@ -17,7 +17,7 @@
 fn server(id: &str, domain: &str) -> ServerEntry {
     ServerEntry {
         id: id.to_owned(),
-        born: None,
+        started_at: None,
         service: NameKey::of("engines"),
         address: "127.0.0.1:1".parse().expect("an address"),
         domain: NameKey::of(domain),
@@ -122,7 +122,7 @@
     let servers = [server("changing", "a"), server("other", "b")];
     let (board, health) = (LoadBoard::default(), HashMap::new());
     let mut changes = StageChanges::default();
-    changes.note_heard(at(0), ServerKey::of("changing"), ServerStage::Prefill);
+    changes.record_announcement(at(0), ServerKey::of("changing"), ServerStage::Prefill);
     let order = |millis| ranked_beside(&changes, at(millis), &board, &health, &servers);
     assert_eq!(order(10), ["other"]);
     assert_eq!(order(6900), ["other"], "a change takes 6 s, also if its giver ends meanwhile");
@@ -134,7 +134,7 @@
     let servers = [server("changing", "a"), server("other", "b")];
     let (board, health) = (LoadBoard::default(), HashMap::new());
     let mut changes = StageChanges::default();
-    changes.note_heard(at(0), ServerKey::of("changing"), ServerStage::Decode);
+    changes.record_announcement(at(0), ServerKey::of("changing"), ServerStage::Decode);
     let order = |millis| ranked_beside(&changes, at(millis), &board, &health, &servers);
     assert_eq!(order(10), ["changing", "other"], "it is where it was to go");
 }
@@ -144,7 +144,7 @@
     let servers = [server("changing", "a"), server("other", "b")];
     let (board, health) = (LoadBoard::default(), HashMap::new());
     let mut changes = StageChanges::default();
-    changes.note_suspected(at(0), ServerKey::of("changing"));
+    changes.record_suspicion(at(0), ServerKey::of("changing"));
     let order = |millis| ranked_beside(&changes, at(millis), &board, &health, &servers);
     assert_eq!(order(2400), ["other"]);
     assert_eq!(order(2600), ["changing", "other"]);
@@ -155,9 +155,9 @@
     let servers = [server("changing", "a"), server("other", "b")];
     let (board, health) = (LoadBoard::default(), HashMap::new());
     let mut changes = StageChanges::default();
-    changes.note_ordered(ServerKey::of("changing"), ServerStage::Prefill);
+    changes.record_order(ServerKey::of("changing"), ServerStage::Prefill);
     assert_eq!(ranked_beside(&changes, at(9000), &board, &health, &servers), ["other"]);
-    changes.retain_ordered(|_| false);
+    changes.retain_orders(|_| false);
     assert_eq!(ranked_beside(&changes, at(9000), &board, &health, &servers), ["changing", "other"]);
 }
 
--- a/tests/server_lives.rs
+++ b/tests/server_incarnations.rs
@@ -42,7 +42,8 @@
 async fn restart(site: &TestSite, id: &str, place: RestartPlace) {
     let born = site.restart(id, place).await.expect("a restart");
     for gateway in &site.hosts {
-        while find(&gateway.host.state().fleet, id).and_then(|entry| entry.born) != Some(born) {
+        while find(&gateway.host.state().fleet, id).and_then(|entry| entry.started_at) != Some(born)
+        {
             tokio::time::sleep(LOOK).await;
         }
     }
@@ -96,9 +97,9 @@
         {
             let now = host.now();
             let mut state = host.state();
-            state.changes.note_suspected(now, keys[0]);
-            state.changes.note_heard(now, keys[0], ServerStage::Decode);
-            state.changes.note_heard(now, keys[1], ServerStage::Prefill);
+            state.changes.record_suspicion(now, keys[0]);
+            state.changes.record_announcement(now, keys[0], ServerStage::Decode);
+            state.changes.record_announcement(now, keys[1], ServerStage::Prefill);
         }
         restart(&site, "i-prefill-0", RestartPlace::Same).await;
         restart(&site, "i-decode-0", RestartPlace::Same).await;
--- a/tests/silent_peers.rs
+++ b/tests/silent_peers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tealcleat::bench::links::LinkProxy;
 use tealcleat::keys::TimePoint;
-use tealcleat::peers::{PeerClient, PeerHandler, PeerPatience, ViewFetches, serve_peers};
+use tealcleat::peers::{PeerClient, PeerHandler, PeerTimeouts, ViewFetches, serve_peers};
 use tokio::net::TcpListener;
 
 mod site_common;
@@ -13,8 +13,8 @@
 use site_common::runtime;
 
 const KEY: &str = "a-shared-key-of-tests";
-const PATIENCE: PeerPatience =
-    PeerPatience { reply: Duration::from_millis(300), pause: Duration::from_millis(300) };
+const PATIENCE: PeerTimeouts =
+    PeerTimeouts { reply: Duration::from_millis(300), pause: Duration::from_millis(300) };
 /// Asked for this number, the other side replies after longer than anybody waits.
 const SLOW: u32 = 13;
 
@@ -114,7 +114,7 @@
     let mut fetches = ViewFetches::default();
     assert!(fetches.begin(at(0), host(1)));
     assert!(!fetches.begin(at(149), host(2)));
-    fetches.note_piece(at(149), host(1));
+    fetches.record_progress(at(149), host(1));
     assert!(!fetches.begin(at(298), host(2)));
     assert!(fetches.begin(at(299), host(2)));
     assert!(fetches.begin(at(449), host(3)));
--- a/tests/stage_orders.rs
+++ b/tests/stage_orders.rs
@@ -251,16 +251,16 @@
     let mut changes = StageChanges::default();
     let servers: Vec<ServerKey> = (0..40).map(NameKey).collect();
     for server in &servers {
-        changes.note_heard(at(0), *server, ServerStage::Decode);
+        changes.record_announcement(at(0), *server, ServerStage::Decode);
     }
     // The death of the giver is noticed within 3 s, after which nobody repeats its news.
     let mut orders = ChangeOrders::default();
-    for (server, to) in changes.heard(at(3000)) {
+    for (server, to) in changes.announced(at(3000)) {
         orders.note_open(at(3000), server, to, Duration::from_secs(6));
     }
     assert!(servers.iter().all(|server| orders.heads_to(*server) == Some(ServerStage::Decode)));
     assert_eq!(orders.open_count(), 40);
-    assert_eq!(changes.heard(at(7100)).count(), 0);
+    assert_eq!(changes.announced(at(7100)).count(), 0);
 }
 
 /// Pattern: a fleet of thousands of engines that a few hundred requests a second nearly leave idle. Nobody waits in either
