--- a/src/gateway/call_context.rs
+++ b/src/gateway/call_context.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// One caller's request on its way.
+/// A caller's request while this host serves it.
 #[derive(Debug)]
 pub(super) struct CallContext {
     pub host: Arc<GatewayHost>,
@@ -16,32 +16,32 @@
     pub service: ServiceKey,
     pub spec: Arc<ServiceSpec>,
     pub head: CallHead,
-    /// How urgent it is.
+    /// Its priority among the requests to a server.
     pub rank: CallRank,
-    /// The same for each attempt at this request, by whichever host.
+    /// Hash of its contents: the same for each attempt at this request, on every host.
     pub contents: RequestKey,
-    /// Servers crashed while it was there; it may be sent to one more.
+    /// Servers crashed while it was in flight there; it may be sent to one more.
     pub is_trial: bool,
     pub call: ServerCall,
-    /// What it cost its organisation, if that has a limit.
+    /// What it costs its organisation, if that has a limit.
     pub charge: Option<LimitCharge>,
     /// When it was last sent to a server, in microseconds on the host's clock.
     pub sent_at: AtomicU64,
-    /// When its head had been read.
-    pub began: TimePoint,
-    /// When it must have its final answer: the caller's deadline or the route's limit.
-    pub ends_at: TimePoint,
+    /// When its head was read.
+    pub received_at: TimePoint,
+    /// When its final answer is due: the caller's deadline or the route's time limit.
+    pub deadline: TimePoint,
 }
 
 impl CallContext {
     /// Time left until the final answer is due.
     pub fn time_left(&self) -> Duration {
-        self.ends_at.since(self.host.now())
+        self.deadline.since(self.host.now())
     }
 
-    /// Time since the request came.
+    /// Time since the request was received.
     pub fn age(&self) -> Duration {
-        self.host.now().since(self.began)
+        self.host.now().since(self.received_at)
     }
 
     /// When it was last sent to a server.
@@ -49,7 +49,7 @@
         TimePoint(self.sent_at.load(Ordering::Relaxed))
     }
 
-    /// It is sent to a server right now.
+    /// Records that the request is sent to a server at `now`.
     pub fn record_sent(&self, now: TimePoint) {
         self.sent_at.store(now.0, Ordering::Relaxed);
     }
--- a/src/gateway/call_end.rs
+++ b/src/gateway/call_end.rs
@@ -7,27 +7,27 @@
 /// Why a request did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum NotRunReason {
-    /// This host has no configuration yet, or stops.
+    /// This host has no configuration yet, or is shutting down.
     NotReady,
-    /// No decode server holds memory for it.
+    /// No decode server has memory for it.
     NoMemory,
-    /// No server of the service takes work.
+    /// No server of the service accepts requests.
     NoServer,
     /// Reading its prompt failed.
     PromptNotRead,
-    /// The server that was to run it turned it away.
+    /// The server that was chosen to run it rejected it.
     Rejected,
-    /// Its time ran out before it was sent.
+    /// Its deadline passed before it was sent.
     OutOfTime,
-    /// Whether its caller's key is still good cannot be told.
+    /// The configuration is too old to tell whether its caller's key is still valid.
     ConfigTooOld,
-    /// Whether its route is there cannot be told.
+    /// The configuration is too old to tell whether its route exists.
     RouteUnknown,
-    /// Whether its organisation is within its limit cannot be told.
+    /// No owner can tell whether its organisation is within its limit.
     LimitUnknown,
-    /// Servers crashed under it.
+    /// Servers crashed while they ran it.
     HeldBack,
-    /// The servers that could run it get as much already as they take from all hosts together.
+    /// The servers that could run it already receive as many requests from all hosts together as their limits allow.
     ServersAtLimit,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// A whole answer of a backend server.
+/// A complete answer of a backend server.
 #[derive(Debug, Clone)]
 pub(super) struct ServerAnswer {
     pub status: StatusCode,
@@ -57,25 +57,25 @@
     pub body: Bytes,
 }
 
-/// How a request ended that has no stream.
+/// How a request without a stream ended.
 #[derive(Debug, Clone)]
 pub(super) enum CallEnd {
     /// A backend server's own answer, success or failure.
     Answered(ServerAnswer),
-    /// The request is not proper; it certainly did not run.
+    /// The request is invalid; it certainly did not run.
     Improper(StatusCode, &'static str),
-    /// It certainly did not run; the caller may come back after the pause.
+    /// It certainly did not run; the caller may retry after the pause.
     NotRun(NotRunReason, Duration),
-    /// It did not run, since its organisation is at its limit; the pause is until that allows it.
+    /// It did not run because its organisation is at its limit; the pause lasts until the limit allows it.
     OverLimit(Duration),
-    /// It may have run, and there is no answer.
+    /// It may have run, but there is no answer.
     Unknown(&'static str),
     /// Its time ran out while a server worked on it.
     TimedOut,
 }
 
 impl CallEnd {
-    /// The name used in logs.
+    /// The outcome's name in logs and metrics.
     pub const fn name(&self) -> &'static str {
         match self {
             Self::Answered(_) => "answered",
@@ -87,7 +87,7 @@
         }
     }
 
-    /// What decided it, for logs.
+    /// The cause of the outcome, for logs.
     pub fn cause(&self) -> &'static str {
         match self {
             Self::Answered(_) => "server",
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The status that the caller gets.
+    /// The status code of the answer to the caller.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::Answered(answer) => answer.status,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The answer to the caller of the request `id`.
+    /// Builds the answer to the caller of the request `id`.
     pub fn into_answer(self, id: &str) -> CallerAnswer {
         let status = self.status();
         let (headers, body) = match self {
--- a/src/gateway/call_log.rs
+++ b/src/gateway/call_log.rs
@@ -6,17 +6,17 @@
 use std::time::Duration;
 
 impl CallContext {
-    /// Ends a request that has no stream: what it cost is given back if it did not run.
+    /// Ends a request that has no stream; its charge is refunded if it did not run.
     pub fn close(&self, end: CallEnd) -> CallerAnswer {
         if matches!(end, CallEnd::NotRun(..)) {
-            self.give_back();
+            self.refund_charge();
         }
         log_end(&self.host, self.id(), Some(&self.route), &end, self.age());
         end.into_answer(self.id())
     }
 }
 
-/// The one line that tells how a request without a stream ended; `route` if it was on one.
+/// Logs how a request without a stream ended; `route` is `None` if none was found for it.
 pub(super) fn log_end(
     host: &GatewayHost,
     id: &str,
--- a/src/gateway/call_route.rs
+++ b/src/gateway/call_route.rs
@@ -7,7 +7,7 @@
 use super::engine_call::serve_engine;
 use super::flight_guard::FlightGuard;
 use super::gateway_host::{GatewayHost, StopPhase};
-use super::limit_charge::{LimitCharge, charge};
+use super::limit_charge::{LimitCharge, charge_request};
 use super::plain_call::serve_plain;
 use super::run_open::refuse;
 use crate::keys::{RequestContents, RequestKey};
@@ -24,11 +24,11 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
-/// When a caller may come back to a host that has no configuration yet or stops: about the time
-/// in which the platform sends it to another host.
+/// Retry delay for callers of a host that has no configuration yet or is shutting down: about the
+/// time in which the platform sends them to another host.
 const NOT_READY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Answers one request of a caller.
+/// Answers a caller's request.
 pub(super) async fn answer_call(
     host: Arc<GatewayHost>,
     request: Request<Incoming>,
@@ -37,11 +37,11 @@
     let (parts, body) = request.into_parts();
     let head = CallHead::read(&parts.headers, &parts.uri, &host.key_hasher);
     let id = head.request_id.clone();
-    let began = host.now();
+    let received_at = host.now();
     let mut answer = match open_call(&host, head, parts, body).await {
         Ok(context) => run_call(context, flight).await,
         Err(end) => {
-            log_end(&host, &id, None, &end, host.now().since(began));
+            log_end(&host, &id, None, &end, host.now().since(received_at));
             end.into_answer(&id)
         }
     };
@@ -59,14 +59,14 @@
     context.close(end)
 }
 
-/// Finds the route of a request and reads its body.
+/// Finds the route of a request, authorizes its caller, reads its body and charges its organisation.
 async fn open_call(
     host: &Arc<GatewayHost>,
     head: CallHead,
     parts: http::request::Parts,
     body: Incoming,
 ) -> Result<CallContext, CallEnd> {
-    let began = host.now();
+    let received_at = host.now();
     if head.request_id.is_empty() {
         return Err(CallEnd::Improper(StatusCode::BAD_REQUEST, "no_request_id"));
     }
@@ -88,7 +88,7 @@
     {
         let mut state = host.state();
         let bounds = state.bounds.retries;
-        state.retries.entry(service).or_default().note_request(began, &bounds);
+        state.retries.entry(service).or_default().note_request(received_at, &bounds);
     }
     let organisation = organisation.as_deref();
     let contents = host.request_hasher.key(&RequestContents {
@@ -105,9 +105,9 @@
     }
     let org_priority = organisation.map(|org| org.priority).unwrap_or_default();
     let rank = CallRank::new(org_priority, route.priority);
-    let cost = organisation.and_then(|org| cost(org, &head));
-    if let Some(cost) = cost {
-        charge(host, &head.request_id, cost).await?;
+    let charge = organisation.and_then(|org| request_charge(org, &head));
+    if let Some(charge) = charge {
+        charge_request(host, &head.request_id, charge).await?;
     }
     let call = ServerCall::new(parts.method, &parts.uri, &parts.headers, organisation, body);
     Ok(CallContext {
@@ -120,15 +120,15 @@
         contents,
         is_trial: matches!(admission, RequestAdmission::Trial(_)),
         call,
-        charge: cost,
+        charge,
         sent_at: AtomicU64::default(),
-        began,
-        ends_at: began + limit,
+        received_at,
+        deadline: received_at + limit,
     })
 }
 
-/// The end of a request on a route that this host does not know. A host that knows itself to be behind cannot say that there
-/// is none: a newer configuration may have it, and the caller would not come back.
+/// Ends a request on a route that this host does not know. A host that knows its configuration to be outdated cannot
+/// say that there is none: a newer configuration may have the route, and the caller would not retry.
 fn no_route(host: &GatewayHost) -> CallEnd {
     if host.is_behind() {
         return refuse(NotRunReason::RouteUnknown);
@@ -136,7 +136,7 @@
     CallEnd::Improper(StatusCode::NOT_FOUND, "no_route")
 }
 
-/// The line that tells why a request that was at crashes of servers is refused or tried.
+/// Logs why a request that was in flight when servers crashed is refused or sent as a trial.
 fn log_admission(id: &str, contents: RequestKey, admission: &RequestAdmission) {
     let (name, evidence) = match admission {
         RequestAdmission::Free => return,
@@ -146,8 +146,8 @@
     log::info!("event={name} request={id} contents={contents} {evidence}");
 }
 
-/// What a request costs its organisation, if that has a limit.
-fn cost(organisation: &Organisation, head: &CallHead) -> Option<LimitCharge> {
+/// The charge for a request to its organisation, if that has a limit.
+fn request_charge(organisation: &Organisation, head: &CallHead) -> Option<LimitCharge> {
     let units = organisation.limit?.cost(head.tokens.stated_size());
     Some(LimitCharge { org: organisation.key(), units })
 }
--- a/src/gateway/caller_auth.rs
+++ b/src/gateway/caller_auth.rs
@@ -1,4 +1,4 @@
-//! Lets callers in by their keys.
+//! Authorizes callers by their keys.
 
 use super::call_end::{CallEnd, NotRunReason};
 use super::gateway_host::GatewayHost;
@@ -9,24 +9,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A host that was asked for the age of its configuration answers within a few milliseconds; a newer
+/// A host answers a request for the age of its configuration within a few milliseconds; a newer
 /// configuration is fetched meanwhile.
-const AGE_WAIT: Duration = Duration::from_millis(150);
+const AGE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The organisation on whose account a request runs, if any.
+/// Returns the organisation on whose account a request runs, if any, or the refusal of the request.
 pub(super) async fn authorize_caller(
     host: &GatewayHost,
     route: &Route,
     digest: Option<KeyDigest>,
 ) -> Result<Option<Arc<Organisation>>, CallEnd> {
-    let mut permission = permission_now(host, route, digest);
+    let mut permission = current_permission(host, route, digest);
     if permission == CallerPermission::RefreshFirst {
-        // Listens before it asks. All that wait are woken by the first answer; without one they are decided
-        // on as it stands.
-        let heard = host.age_heard.notified();
+        // Subscribes before it sends, so that no answer is missed. The first answer wakes all requests that
+        // wait; without an answer, the permission known at the timeout decides.
+        let received = host.age_heard.notified();
         host.ask_ages();
-        drop(tokio::time::timeout(AGE_WAIT, heard).await);
-        permission = permission_now(host, route, digest);
+        drop(tokio::time::timeout(AGE_TIMEOUT, received).await);
+        permission = current_permission(host, route, digest);
     }
     match permission {
         CallerPermission::Anonymous => Ok(None),
@@ -40,7 +40,7 @@
     }
 }
 
-fn permission_now(
+fn current_permission(
     host: &GatewayHost,
     route: &Route,
     digest: Option<KeyDigest>,
--- a/src/gateway/caller_body.rs
+++ b/src/gateway/caller_body.rs
@@ -8,8 +8,8 @@
 /// An answer to a caller.
 pub(super) type CallerAnswer = Response<CallerBody>;
 
-/// A stream ended before its last event; the caller's connection is broken off, so that the
-/// answer does not look complete.
+/// Error of a stream that ended before its last event; the caller's connection is closed abruptly, so
+/// that the answer does not look complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct StreamCut;
 
@@ -21,20 +21,20 @@
 
 impl std::error::Error for StreamCut {}
 
-/// A part of a stream on its way to its caller.
+/// A part of a stream that is sent to its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum StreamPart {
-    /// A whole event.
+    /// A complete event.
     Event(Bytes),
-    /// There are no more events. A stream is whole only if this came: whatever else ends the task that
-    /// passes events on breaks the stream off.
+    /// There are no more events. A stream is complete only after this part: if the task that relays its
+    /// events ends for any other reason, the stream is cut.
     End,
 }
 
-/// Body of an answer to a caller.
+/// The body of an answer to a caller.
 #[derive(Debug)]
 pub(super) enum CallerBody {
-    /// It is all there.
+    /// A complete body; `None` once it was sent.
     Whole(Option<Bytes>),
     /// Events as they arrive.
     Events(Receiver<StreamPart>),
--- a/src/gateway/caller_loop.rs
+++ b/src/gateway/caller_loop.rs
@@ -6,12 +6,12 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// After a failed accept, as when descriptors run out.
+/// Pause after a failed accept, for example when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// Least buffer that the HTTP library takes.
-const LEAST_HEAD_BYTES: usize = 8 << 10;
+/// The smallest buffer that the HTTP library accepts.
+const MIN_HEAD_BYTES: usize = 8 << 10;
 
-/// Serves callers until the host stops reading requests.
+/// Accepts and serves callers' connections until the host stops reading requests.
 pub(super) async fn serve_callers(listener: TcpListener, host: Arc<GatewayHost>) {
     loop {
         let accepted = tokio::select! {
@@ -42,7 +42,7 @@
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_time.max(limits.head_time))
-        .max_buf_size(limits.head_bytes.max(LEAST_HEAD_BYTES))
+        .max_buf_size(limits.head_bytes.max(MIN_HEAD_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let ended = tokio::select! {
--- a/src/gateway/engine_call.rs
+++ b/src/gateway/engine_call.rs
@@ -10,7 +10,7 @@
 use http::Response;
 use std::sync::Arc;
 
-/// Runs a request at a service of model engines and answers with its stream.
+/// Runs a request on a service of model engines and answers with its stream.
 pub(super) async fn serve_engine(context: Arc<CallContext>, flight: FlightGuard) -> CallerAnswer {
     let Some(engine) = context.spec.engine.clone() else {
         return refuse(NotRunReason::NoServer).into_answer(context.id());
@@ -18,13 +18,13 @@
     let mut runs = RunRecord::default();
     match open_stream(&context, &engine, context.head.last_event, &mut runs).await {
         Ok(run) => stream_answer(context, engine, run, runs, flight),
-        Err(end) => context.close(if runs.may_have_run { without_refusal(end) } else { end }),
+        Err(end) => context.close(if runs.may_have_run { unknown_if_refused(end) } else { end }),
     }
 }
 
-/// The end of a request whose earlier run may have begun: a later attempt that was refused does not
-/// make it one that did not run.
-fn without_refusal(end: CallEnd) -> CallEnd {
+/// Reports a refusal as an unknown outcome. An earlier run of the request may have begun, so the refusal of a later
+/// attempt does not show that it did not run.
+fn unknown_if_refused(end: CallEnd) -> CallEnd {
     match end {
         CallEnd::NotRun(reason, _) => CallEnd::Unknown(reason.name()),
         other => other,
@@ -38,7 +38,7 @@
     runs: RunRecord,
     flight: FlightGuard,
 ) -> CallerAnswer {
-    let (events, received) = tokio::sync::mpsc::channel(EVENTS_WAITING);
+    let (events, received) = tokio::sync::mpsc::channel(EVENT_BUFFER);
     let mut answer = Response::new(CallerBody::Events(received));
     *answer.status_mut() = run.head.0;
     *answer.headers_mut() = answer_headers(&run.head.1);
@@ -46,5 +46,5 @@
     answer
 }
 
-/// Events that wait for a caller that reads slowly.
-const EVENTS_WAITING: usize = 16;
+/// Events buffered for a caller that reads slowly.
+const EVENT_BUFFER: usize = 16;
--- a/src/gateway/engine_resource.rs
+++ b/src/gateway/engine_resource.rs
@@ -10,12 +10,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A healthy engine answers a hold within a few milliseconds; its report says nothing newer.
-const HOLD_LIMIT: Duration = Duration::from_millis(200);
-/// Giving something back may take this long; if it fails, it lapses by itself.
-const GIVE_BACK_LIMIT: Duration = Duration::from_millis(500);
+/// A healthy engine answers a hold request within a few milliseconds, and its report contains nothing newer.
+const HOLD_TIMEOUT: Duration = Duration::from_millis(200);
+/// A resource whose release takes longer than this, or fails, expires by itself.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What is kept at an engine for this host.
+/// A resource that an engine reserves for this host, with its name at the engine.
 #[derive(Debug)]
 enum ResourceKind {
     /// A slot and memory.
@@ -24,46 +24,50 @@
     Handle(String),
 }
 
-/// Something kept at an engine, given back when it is dropped unused.
+/// A resource reserved at an engine; it is released when it is dropped unused.
 #[derive(Debug)]
 pub(super) struct EngineResource {
     host: Arc<GatewayHost>,
-    /// Where it is kept.
+    /// The engine that reserves it.
     pub server: ServerEntry,
-    thing: Option<ResourceKind>,
+    kind: Option<ResourceKind>,
 }
 
 impl EngineResource {
-    /// Takes over the result of a prefill.
-    pub fn handle(host: &Arc<GatewayHost>, server: ServerEntry, result: PrefillResult) -> Self {
-        let thing = Some(ResourceKind::Handle(result.handle));
-        Self { host: Arc::clone(host), server, thing }
+    /// Takes ownership of the result of a prefill.
+    pub fn from_prefill(
+        host: &Arc<GatewayHost>,
+        server: ServerEntry,
+        result: PrefillResult,
+    ) -> Self {
+        let kind = Some(ResourceKind::Handle(result.handle));
+        Self { host: Arc::clone(host), server, kind }
     }
 
-    /// Its name at the engine.
+    /// Its name at the engine; `None` once it was used.
     pub fn name(&self) -> Option<&str> {
-        match &self.thing {
+        match &self.kind {
             Some(ResourceKind::Hold(name) | ResourceKind::Handle(name)) => Some(name),
             None => None,
         }
     }
 
-    /// It was used up: there is nothing to give back.
-    pub fn used(&mut self) {
-        self.thing = None;
+    /// Marks it as used: there is nothing to release.
+    pub fn mark_used(&mut self) {
+        self.kind = None;
     }
 }
 
 impl Drop for EngineResource {
     fn drop(&mut self) {
-        let Some(thing) = self.thing.take() else {
+        let Some(kind) = self.kind.take() else {
             return;
         };
-        // Another life of the server keeps nothing of it, and may have given its name to something else.
+        // A new incarnation of the server does not have it, and may have given its name to another resource.
         if self.host.has_restarted(&self.server) {
             return;
         }
-        let call = match thing {
+        let call = match kind {
             ResourceKind::Hold(name) => hold_drop_call(&self.server, &name),
             ResourceKind::Handle(name) => {
                 log::info!("event=prompt_wasted server={} handle={name}", self.server.id);
@@ -74,33 +78,34 @@
         let (host, server) = (Arc::clone(&self.host), self.server.clone());
         tokio::spawn(async move {
             let purpose = CallPurpose::Control;
-            let given = call_engine(&host, &server, purpose, call, GIVE_BACK_LIMIT, |_, _| Ok(()));
-            if let Err(error) = given.await {
+            let release =
+                call_engine(&host, &server, purpose, call, RELEASE_TIMEOUT, |_, _| Ok(()));
+            if let Err(error) = release.await {
                 log::debug!("event=give_back_failed server={} cause=\"{error}\"", server.id);
             }
         });
     }
 }
 
-/// Asks an engine for a slot and memory; `None` if it has none.
+/// Requests a slot and memory from an engine; `None` if it has none.
 pub(super) async fn acquire_hold(
     host: &Arc<GatewayHost>,
     server: &ServerEntry,
     tokens: u32,
-    life: Duration,
+    lifetime: Duration,
 ) -> Result<Option<EngineResource>> {
-    let call = hold_call(server, tokens, life);
+    let call = hold_call(server, tokens, lifetime);
     let purpose = CallPurpose::Control;
     let read = |status, body: &Bytes| read_grant(host, server, status, body);
-    let grant = call_engine(host, server, purpose, call, HOLD_LIMIT, read).await?;
+    let grant = call_engine(host, server, purpose, call, HOLD_TIMEOUT, read).await?;
     let Some(grant) = grant else {
         return Ok(None);
     };
-    let thing = Some(ResourceKind::Hold(grant.hold));
-    Ok(Some(EngineResource { host: Arc::clone(host), server: server.clone(), thing }))
+    let kind = Some(ResourceKind::Hold(grant.hold));
+    Ok(Some(EngineResource { host: Arc::clone(host), server: server.clone(), kind }))
 }
 
-/// Reads the answer to a hold. A grant that was made before is a late copy of that answer.
+/// Reads the answer to a hold request. A grant that was received before is a late copy of an earlier answer.
 fn read_grant(
     host: &GatewayHost,
     server: &ServerEntry,
@@ -111,13 +116,13 @@
         return Ok(None);
     }
     if !status.is_success() {
-        return Err(Error::Refused(format!("the engine answered {status} to a hold")));
+        return Err(Error::Refused(format!("the engine answered {status} to a hold request")));
     }
     let grant: HoldGrant = decode_body(body)?;
     if !host.state().grants.note(server.key(), &grant.hold) {
         let (server, hold) = (&server.id, &grant.hold);
         log::info!("event=hold_granted_before server={server} hold={hold}");
-        return Err(Error::Protocol("the engine granted a hold twice".to_owned()));
+        return Err(Error::Protocol("the engine granted the same hold twice".to_owned()));
     }
     Ok(Some(grant))
 }
--- a/src/gateway/event_reader.rs
+++ b/src/gateway/event_reader.rs
@@ -3,7 +3,7 @@
 use crate::{Error, Result};
 use http_body_util::BodyExt;
 
-/// Reads a stream's events, each as soon as it is whole.
+/// Reads the events of a stream, each as soon as it is complete.
 #[derive(Debug)]
 pub(super) struct EventReader {
     body: PooledBody,
@@ -15,10 +15,10 @@
         Self { body, splitter: EventSplitter::default() }
     }
 
-    /// The next event, or `None` after the last one. Safe to drop while it waits.
+    /// Returns the next event, or `None` after the last one. Cancel safe.
     ///
     /// # Errors
-    /// If the connection breaks, or ends within an event.
+    /// If the connection breaks or ends within an event, or an event is too long.
     pub async fn next(&mut self) -> Result<Option<StreamEvent>> {
         loop {
             if let Some(event) = self.splitter.next_event() {
--- a/src/gateway/event_relay.rs
+++ b/src/gateway/event_relay.rs
@@ -14,26 +14,27 @@
 use std::time::Duration;
 use tokio::sync::mpsc::Sender;
 
-/// A resumable stream that is silent for this long goes on at another server; callers give up
-/// after about twice that.
-const SILENCE_LIMIT: Duration = Duration::from_millis(1500);
+/// A resumable stream that is silent for this long is resumed on another server; callers give up
+/// after about twice that time.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A lost stream asks for room this long; callers give up after a gap of two seconds and more.
-const RESUME_LIMIT: Duration = Duration::from_millis(1500);
-const RESUME_PAUSE: Duration = Duration::from_millis(60);
-/// Before a stream is cut, events that were passed on have this long to leave for the caller.
-const CUT_PAUSE: Duration = Duration::from_millis(10);
+/// How long a new run is tried to be opened for a lost stream; callers give up after a gap of two seconds and more.
+const RESUME_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Pause between these tries.
+const RESUME_RETRY_PAUSE: Duration = Duration::from_millis(60);
+/// Time for relayed events to be written to the caller's connection before a stream is cut.
+const CUT_DELAY: Duration = Duration::from_millis(10);
 
 /// How a stream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StreamEnd {
-    /// Its last event was passed on.
+    /// Its last event was relayed.
     Whole,
     /// The caller left.
     CallerLeft,
-    /// Its time ran out.
+    /// Its deadline passed.
     TimedOut,
-    /// Its server broke off, and it was not resumed.
+    /// Its server broke it off, and it was not resumed.
     Broken,
 }
 
@@ -48,37 +49,37 @@
     }
 }
 
-/// What became of one run of a stream.
+/// How one run of a stream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RunEnd {
     Stream(StreamEnd),
-    /// The server broke off or fell silent.
+    /// The server broke the run off or fell silent.
     ServerLost,
 }
 
-/// What was passed on so far.
+/// The events relayed so far.
 #[derive(Debug, Default)]
 struct RelayRecord {
     events: u64,
     last: Option<u64>,
     first_after: Option<Duration>,
-    /// When the last event was passed on, and the longest pause before one.
-    passed_at: Option<TimePoint>,
+    /// When the last event was relayed, and the longest pause before one.
+    relayed_at: Option<TimePoint>,
     longest_pause: Duration,
 }
 
 impl RelayRecord {
-    /// An event is passed on.
-    fn note_event(&mut self, now: TimePoint, age: Duration) {
+    /// Records an event that is relayed at `now`.
+    fn record_event(&mut self, now: TimePoint, age: Duration) {
         self.events += 1;
         self.first_after.get_or_insert(age);
-        if let Some(last) = self.passed_at.replace(now) {
+        if let Some(last) = self.relayed_at.replace(now) {
             self.longest_pause = self.longest_pause.max(now.since(last));
         }
     }
 }
 
-/// Passes a stream on to its caller, over as many runs as the route allows.
+/// Relays a stream to its caller, over as many runs as the route allows.
 pub(super) async fn relay_events(
     context: Arc<CallContext>,
     engine: EngineSpec,
@@ -89,14 +90,14 @@
 ) {
     let mut record = RelayRecord { last: context.head.last_event, ..RelayRecord::default() };
     let server = run.server.id.clone();
-    note_stream(&context);
+    record_stream(&context);
     let end = relay_runs(&context, &engine, run, runs, &events, &mut record).await;
     match end {
-        // If the caller has just left, there is nobody to tell.
+        // Sending fails only if the caller has just left.
         StreamEnd::Whole => drop(events.send(StreamPart::End).await),
         StreamEnd::CallerLeft => {}
         // The HTTP library drops what it has not written when a body fails.
-        StreamEnd::TimedOut | StreamEnd::Broken => tokio::time::sleep(CUT_PAUSE).await,
+        StreamEnd::TimedOut | StreamEnd::Broken => tokio::time::sleep(CUT_DELAY).await,
     }
     drop(events);
     log_stream(&context, &server, end, &record);
@@ -119,7 +120,7 @@
             RunEnd::ServerLost => {
                 log_lost(context, &server.id, record);
                 context.host.note_server(&server, ServerNote::Silent);
-                runs.note_lost(server.key());
+                runs.record_lost(server.key());
             }
         }
         if !may_retry_run(context, &runs).await {
@@ -127,7 +128,7 @@
         }
         let (id, after) = (context.id(), record.last.unwrap_or_default());
         log::info!("event=stream_resumed request={id} lost={} after={after}", server.id);
-        let opening = open_again(context, engine, record.last, &mut runs);
+        let opening = resume_run(context, engine, record.last, &mut runs);
         let opened = tokio::select! {
             opened = opening => opened,
             () = events.closed() => return StreamEnd::CallerLeft,
@@ -139,14 +140,15 @@
     }
 }
 
-/// The line that tells under which request a server broke a run off that had begun, or fell silent.
+/// Logs during which request a server broke off a run that had begun, or fell silent.
 fn log_lost(context: &CallContext, server: &str, record: &RelayRecord) {
     let (id, contents, events) = (context.id(), context.contents, record.events);
     log::info!("event=run_lost request={id} contents={contents} server={server} events={events}");
 }
 
-/// Opens a further run; while there is only no room, it asks again as long as the caller may wait.
-async fn open_again(
+/// Opens a further run; while that is refused for want of a server that has room, it is retried as long as the caller
+/// may wait.
+async fn resume_run(
     context: &CallContext,
     engine: &EngineSpec,
     after: Option<u64>,
@@ -160,10 +162,10 @@
             Err(CallEnd::NotRun(reason, _)) if reason != NotRunReason::HeldBack
         );
         let waited = context.host.now().since(began);
-        if !refused || waited > RESUME_LIMIT || context.time_left().is_zero() {
+        if !refused || waited > RESUME_TIMEOUT || context.time_left().is_zero() {
             return opened;
         }
-        tokio::time::sleep(RESUME_PAUSE).await;
+        tokio::time::sleep(RESUME_RETRY_PAUSE).await;
     }
 }
 
@@ -175,7 +177,7 @@
     record: &mut RelayRecord,
 ) -> RunEnd {
     let OpenRun { server, mut reader, first, mut load, .. } = run;
-    let ends_at = context.host.instant(context.ends_at);
+    let deadline = context.host.instant(context.deadline);
     let mut next = Ok(first);
     let mut timer = PaceTimer::new(context.host.now());
     loop {
@@ -191,21 +193,21 @@
             }
         };
         load.grow(engine.tokens_per_event);
-        if let Some(end) = pass_on(context, event, events, record).await {
+        if let Some(end) = relay_event(context, event, events, record).await {
             return end;
         }
         next = tokio::select! {
             next = next_event(context, &mut reader) => next,
             () = events.closed() => return RunEnd::Stream(StreamEnd::CallerLeft),
-            () = tokio::time::sleep_until(ends_at) => return RunEnd::Stream(StreamEnd::TimedOut),
+            () = tokio::time::sleep_until(deadline) => return RunEnd::Stream(StreamEnd::TimedOut),
         };
         if matches!(next, Ok(Some(_))) {
-            note_pace(context, engine, &mut timer);
+            record_pace(context, engine, &mut timer);
         }
     }
 }
 
-/// The next event; a resumable stream does not wait for a silent server.
+/// Waits for the next event, of a resumable stream no longer than for the silence timeout.
 async fn next_event(
     context: &CallContext,
     reader: &mut super::event_reader::EventReader,
@@ -213,13 +215,13 @@
     if !context.route.is_repeatable() {
         return reader.next().await;
     }
-    let next = tokio::time::timeout(SILENCE_LIMIT, reader.next()).await;
+    let next = tokio::time::timeout(SILENCE_TIMEOUT, reader.next()).await;
     next.map_err(|_elapsed| crate::Error::Timeout)?
 }
 
-/// Passes an event on if it is the next one; one that the caller has is dropped. Without a number it is none
-/// of the stream's: the head of a second answer, behind one that has no length, reads as such an event.
-async fn pass_on(
+/// Relays an event if it is the next one; an event that the caller already has is dropped. An event without a number
+/// does not belong to the stream: the head of a second answer, after one without a length, parses as such an event.
+async fn relay_event(
     context: &CallContext,
     event: StreamEvent,
     events: &Sender<StreamPart>,
@@ -243,23 +245,23 @@
         }
     }
     record.last = Some(number);
-    record.note_event(context.host.now(), context.age());
+    record.record_event(context.host.now(), context.age());
     match events.send(StreamPart::Event(event.bytes)).await {
         Ok(()) => None,
         Err(_) => Some(RunEnd::Stream(StreamEnd::CallerLeft)),
     }
 }
 
-/// Tells the work meter what the stream is expected to take.
-fn note_stream(context: &CallContext) {
+/// Reports to the work meter how much work the stream is expected to take.
+fn record_stream(context: &CallContext) {
     let tokens = &context.head.tokens;
     let (now, output) = (context.host.now(), expected_output(tokens));
     let mut state = context.host.state();
     state.work.entry(context.service).or_default().note_stream(now, tokens.prompt, output);
 }
 
-/// Tells the work meter the pace of a run, once a group of its events has come.
-fn note_pace(context: &CallContext, engine: &EngineSpec, timer: &mut PaceTimer) {
+/// Reports to the work meter the pace of a run, once a group of its events has arrived.
+fn record_pace(context: &CallContext, engine: &EngineSpec, timer: &mut PaceTimer) {
     let Some((events, took)) = timer.note_event(context.host.now()) else { return };
     let tokens = events.saturating_mul(engine.tokens_per_event);
     context.host.state().work.entry(context.service).or_default().note_pace(tokens, took);
--- a/src/gateway/limit_answers.rs
+++ b/src/gateway/limit_answers.rs
@@ -1,4 +1,4 @@
-//! Takes note of the limits that backend servers name in their answers.
+//! Applies the limits that backend servers state in their answers.
 
 use super::gateway_host::GatewayHost;
 use super::peer_messages::GatewayDatagram;
@@ -9,7 +9,8 @@
 use crate::server_limits::LimitAnswered;
 
 impl GatewayHost {
-    /// A server answered a request that was sent at `sent_at`; the answer is known to be to that request.
+    /// Applies the limit in a server's answer to a request sent at `sent_at`. The answer is known to belong to that
+    /// request.
     pub(super) fn apply_named_limit(
         &self,
         server: &ServerEntry,
@@ -26,11 +27,11 @@
             }
         };
         let (now, key) = (self.now(), server.key());
-        let (change, told) = self.state().sends.hear_answer(now, sent_at, key, limit);
+        let (change, report) = self.state().sends.hear_answer(now, sent_at, key, limit);
         if let Some(change) = change {
             self.announce_limit_change(&change, "answer");
         }
-        if let Some(answered) = told {
+        if let Some(answered) = report {
             self.send_limit_answered(&answered);
         }
     }
@@ -41,12 +42,13 @@
             OwnerChoice::Other(owner) => {
                 self.send(owner.address, &GatewayDatagram::LimitAnswered(*answered));
             }
-            // Who has no owner sends nothing there; the next answer tells.
+            // A host that knows no owner sends nothing to the server; the next answer reports its limit again.
             OwnerChoice::Unknown => {}
         }
     }
 
-    /// A server that has a limit answered this host or another one, which takes this one for its owner.
+    /// Handles the report of a limited server's answer to this host, or to another one that takes this one for the
+    /// server's owner.
     pub(super) fn receive_limit_answered(&self, answered: &LimitAnswered) {
         let now = self.now();
         let changes = self.state().sends.hear_answered(now, answered);
--- a/src/gateway/limit_charge.rs
+++ b/src/gateway/limit_charge.rs
@@ -31,7 +31,7 @@
 }
 
 /// Charges a request to its organisation, or refuses it.
-pub(super) async fn charge(
+pub(super) async fn charge_request(
     host: &Arc<GatewayHost>,
     id: &str,
     charge: LimitCharge,
@@ -60,7 +60,7 @@
 
 impl CallContext {
     /// The request did not run: what it cost is given back.
-    pub fn give_back(&self) {
+    pub fn refund_charge(&self) {
         let Some(charge) = self.charge else { return };
         let now = self.host.now();
         self.host.state().meter.give_back(now, charge.org, charge.units);
--- a/src/gateway/limit_gossip.rs
+++ b/src/gateway/limit_gossip.rs
@@ -1,4 +1,4 @@
-//! Tells other hosts of the limits that backend servers named, and owners of what this host sent.
+//! Sends the limits that backend servers stated to other hosts, and reports to owners what this host sent.
 
 use super::gateway_host::GatewayHost;
 use super::peer_messages::GatewayDatagram;
@@ -8,26 +8,26 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How often a host tells what is new to it: all of 300 hosts hear it within half a second (reckoned).
-const TELL_PERIOD: Duration = Duration::from_millis(100);
-/// Hosts of the own failure domain told each time.
-const TELL_NEAR: usize = 4;
-/// Hosts of other failure domains told each time; their bytes are priced.
-const TELL_ABROAD: usize = 2;
-/// Owners are told what this host sent in each of so many periods, while it sent something lately.
-const TRAIL_PERIODS: u64 = 2;
+/// How often a host sends limits that are new to it: by calculation, all of 300 hosts receive them within half a second.
+const GOSSIP_PERIOD: Duration = Duration::from_millis(100);
+/// Number of hosts of the own failure domain that each message is sent to.
+const NEAR_TARGETS: usize = 4;
+/// Number of hosts of other failure domains that each message is sent to; traffic to them is billed by the byte.
+const REMOTE_TARGETS: usize = 2;
+/// Reports to owners are sent every this many periods, while this host sent something recently.
+const REPORT_PERIODS: u64 = 2;
 
-/// Tells limits and trails while there are some.
+/// Sends limits and reports to owners periodically, while there are any.
 pub(super) async fn run_limit_gossip(host: Arc<GatewayHost>) {
-    let mut ticker = tokio::time::interval(TELL_PERIOD);
+    let mut ticker = tokio::time::interval(GOSSIP_PERIOD);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut round = 0_u64;
     loop {
         ticker.tick().await;
         round += 1;
         host.send_server_limits();
-        if round.is_multiple_of(TRAIL_PERIODS) {
-            host.tell_trails();
+        if round.is_multiple_of(REPORT_PERIODS) {
+            host.report_sends();
         }
     }
 }
@@ -35,20 +35,20 @@
 impl GatewayHost {
     fn send_server_limits(&self) {
         let now = self.now();
-        let news = self.state().sends.book.untold(now);
-        if news.is_empty() {
+        let updates = self.state().sends.book.untold(now);
+        if updates.is_empty() {
             return;
         }
         let serial = self.load_serial.fetch_add(1, Ordering::Relaxed);
-        let news = GatewayDatagram::ServerLimits(news);
-        for target in self.load_targets(serial, TELL_NEAR, TELL_ABROAD) {
-            self.send(target, &news);
+        let datagram = GatewayDatagram::ServerLimits(updates);
+        for target in self.load_targets(serial, NEAR_TARGETS, REMOTE_TARGETS) {
+            self.send(target, &datagram);
         }
     }
 
-    /// Tells the owners of servers that have a limit what this host sent there, and forgets what this host
-    /// granted for servers that others own now.
-    fn tell_trails(&self) {
+    /// Reports to the owners of limited servers what this host sent there, and discards what this host granted for
+    /// servers that other hosts own now.
+    fn report_sends(&self) {
         let now = self.now();
         let limited: Vec<ServerKey> = self.state().sends.limited(now);
         let since = self.state().sends.desk.term().looked_at();
@@ -65,20 +65,20 @@
         }
     }
 
-    /// Takes over what another host told.
-    pub(super) fn receive_server_limits(&self, news: &[LimitNews]) {
+    /// Merges limits that another host sent.
+    pub(super) fn receive_server_limits(&self, updates: &[LimitNews]) {
         let now = self.now();
         let changes: Vec<LimitChange> = {
             let mut state = self.state();
-            news.iter().filter_map(|news| state.sends.book.merge(now, news)).collect()
+            updates.iter().filter_map(|update| state.sends.book.merge(now, update)).collect()
         };
         for change in changes {
             self.announce_limit_change(&change, "peer");
         }
     }
 
-    /// A server's limit changed, as far as this host knows: others are told at once, so that 300 hosts know within
-    /// some round trips, and not within as many periods.
+    /// Announces that a server's limit changed. The change is sent at once, so that 300 hosts know it within a few round
+    /// trips instead of as many periods.
     pub(super) fn announce_limit_change(&self, change: &LimitChange, source: &str) {
         let now = self.now();
         let LimitNews { server, version, limit } = change.now;
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -12,19 +12,19 @@
 use crate::{Error, Result};
 use std::time::Duration;
 
-/// Requests that must not be repeated go on a connection that answered this recently.
-const FRESH_CONNECTION: Duration = Duration::from_millis(1500);
-/// A repeatable request is tried elsewhere after this many objectives without an answer.
+/// Requests that must not be repeated are sent on a connection only if it answered this recently.
+const FRESH_CONNECTION_AGE: Duration = Duration::from_millis(1500);
+/// A repeatable request is sent to another server after this many objectives without an answer.
 const SILENCE_OBJECTIVES: u32 = 2;
-/// Servers tried that could not even be connected to; nothing reached them.
-const MOST_UNREACHED: u32 = 3;
-/// Owners of servers at their limit are asked one after the other for this long; each replies within a millisecond
+/// Servers tried that could not be connected to, so that nothing of the request reached them.
+const MAX_UNREACHED: u32 = 3;
+/// How long the owners of servers at their limit are asked one after the other. Each replies within a millisecond
 /// or two, and one that is silent costs 65 ms.
-const ASKING_TIME: Duration = Duration::from_millis(100);
-/// When a caller may come back after all servers turned the request away: a few service times.
+const PERMIT_TIME: Duration = Duration::from_millis(100);
+/// Retry delay for a caller after all servers rejected the request: a few service times.
 const REJECTED_PAUSE: Duration = Duration::from_millis(300);
 
-/// What one attempt at one server came to.
+/// How one attempt at one server ended.
 #[derive(Debug)]
 enum AttemptEnd {
     Answered(ServerAnswer),
@@ -35,19 +35,19 @@
     Silent,
 }
 
-/// What the attempts so far came to.
+/// Results of the attempts so far.
 #[derive(Debug, Default)]
 struct AttemptRecord {
     tried: Vec<ServerKey>,
     sent: u32,
     unreached: u32,
-    /// One of them may have run.
+    /// Whether one of them may have run.
     may_have_run: bool,
-    /// The last failure of a server, passed on if nothing better comes.
+    /// The last failure that a server answered, passed on to the caller if no attempt succeeds.
     failure: Option<ServerAnswer>,
 }
 
-/// Runs a request at a service whose servers answer in one piece.
+/// Runs a request on a service whose servers answer in one piece.
 pub(super) async fn serve_plain(context: &CallContext) -> CallEnd {
     let mut record = AttemptRecord::default();
     while let Some((server, permit)) = next_server(context, &record).await {
@@ -80,13 +80,13 @@
     give_up(context, record).await
 }
 
-/// The next server to try, if the route, the time and the retry bounds allow one.
+/// Selects the next server to try, if the route, the deadline and the retry budget allow one.
 async fn next_server(
     context: &CallContext,
     record: &AttemptRecord,
 ) -> Option<(ServerEntry, SendPermit)> {
-    let spent = record.sent >= context.route.max_servers || record.unreached >= MOST_UNREACHED;
-    if spent || context.time_left().is_zero() || context.is_held_back(record.sent).await {
+    let exhausted = record.sent >= context.route.max_servers || record.unreached >= MAX_UNREACHED;
+    if exhausted || context.time_left().is_zero() || context.is_held_back(record.sent).await {
         return None;
     }
     let (kind, near) = (ChoiceKind::Requests, context.host.domain());
@@ -94,15 +94,15 @@
     let ranked = context.host.ranked(context.service, &wish);
     let untried = ranked.into_iter().filter(|server| !record.tried.contains(&server.key()));
     let (server, permit) = first_permitted(context, untried).await?;
-    let repeat = record.sent > 0;
-    if repeat && !context.host.take_retries(context.service, 1).await {
+    let is_retry = record.sent > 0;
+    if is_retry && !context.host.take_retries(context.service, 1).await {
         log::info!("event=repeat_denied request={} cause=retry_bounds", context.id());
         return None;
     }
     Some((server, permit))
 }
 
-/// The best server whose limit, if it has one, lets the request in.
+/// Selects the best server that has no limit or whose limit admits the request.
 async fn first_permitted(
     context: &CallContext,
     ranked: impl Iterator<Item = ServerEntry>,
@@ -112,7 +112,7 @@
         if let Some(permit) = context.permit(&server).await {
             return Some((server, permit));
         }
-        if context.host.now().since(began) > ASKING_TIME {
+        if context.host.now().since(began) > PERMIT_TIME {
             break;
         }
     }
@@ -133,7 +133,7 @@
     if context.is_surely_held_back(record.sent) {
         return refuse(NotRunReason::HeldBack);
     }
-    if context.is_limited_out(None) {
+    if context.is_blocked_by_limits(None) {
         return context.refuse_at_limit(None).await;
     }
     let reason = if record.sent > 0 { NotRunReason::Rejected } else { NotRunReason::NoServer };
@@ -150,10 +150,11 @@
     let _load = LoadGuard::new(&context.host, server.key(), load);
     context.host.note_server(server, ServerNote::Sent);
     let repeatable = context.route.is_repeatable();
-    let more = repeatable && record.sent + 1 < context.route.max_servers;
-    let patience = context.route.objective * SILENCE_OBJECTIVES;
-    let limit = if more { patience.min(context.time_left()) } else { context.time_left() };
-    let end = match tokio::time::timeout(limit, exchange(context, server, &mut permit)).await {
+    let may_retry = repeatable && record.sent + 1 < context.route.max_servers;
+    let silence_timeout = context.route.objective * SILENCE_OBJECTIVES;
+    let timeout =
+        if may_retry { silence_timeout.min(context.time_left()) } else { context.time_left() };
+    let end = match tokio::time::timeout(timeout, exchange(context, server, &mut permit)).await {
         Ok(Ok(end)) => end,
         Ok(Err(Error::NotSent(_))) => AttemptEnd::NotSent,
         Ok(Err(Error::Foreign { .. })) => AttemptEnd::Unknown("foreign_answer"),
@@ -164,7 +165,7 @@
         }
         Err(_elapsed) => AttemptEnd::Silent,
     };
-    note_end(context, server, &end);
+    record_end(context, server, &end);
     end
 }
 
@@ -173,10 +174,10 @@
     server: &ServerEntry,
     permit: &mut SendPermit,
 ) -> Result<AttemptEnd> {
-    let rested = if context.route.is_repeatable() { Duration::MAX } else { FRESH_CONNECTION };
+    let max_idle = if context.route.is_repeatable() { Duration::MAX } else { FRESH_CONNECTION_AGE };
     let (purpose, left) = (CallPurpose::Plain, context.time_left());
     let part = CallPart::Whole;
-    let response = send_request(context, server, purpose, left, part, rested, permit).await?;
+    let response = send_request(context, server, purpose, left, part, max_idle, permit).await?;
     let kind = read_answer(&response);
     let (parts, body) = response.into_parts();
     if kind == AnswerKind::Improper {
@@ -200,7 +201,7 @@
     })
 }
 
-fn note_end(context: &CallContext, server: &ServerEntry, end: &AttemptEnd) {
+fn record_end(context: &CallContext, server: &ServerEntry, end: &AttemptEnd) {
     let note = match end {
         AttemptEnd::Answered(_) => ServerNote::Served,
         AttemptEnd::Failed(_) | AttemptEnd::NotRun | AttemptEnd::Unknown(_) => ServerNote::Erred,
--- a/src/gateway/prompt_read.rs
+++ b/src/gateway/prompt_read.rs
@@ -12,30 +12,30 @@
 use http::StatusCode;
 use std::time::Duration;
 
-/// A prompt takes about 0.1 s to read, and a queue of several is longer than any objective.
-const READ_LIMIT: Duration = Duration::from_millis(1200);
-/// Prompt tokens that make a prefill server count as full: about half an objective of reading.
+/// A prompt takes about 0.1 s to read, and waiting behind several others takes longer than any objective.
+const READ_TIMEOUT: Duration = Duration::from_millis(1200);
+/// Queued prompt tokens from which a prefill server counts as full: reading them takes about half an objective.
 const FULL_QUEUE_TOKENS: u32 = 12_000;
 /// Prefill servers tried for one request.
-const MOST_READERS: usize = 2;
-/// A decode server still reads a prompt in time while no more than this part of the objective has passed.
-const OWN_READ_PART: f64 = 0.6;
+const MAX_READS: usize = 2;
+/// A decode server still reads a prompt in time while no more than this fraction of the objective has passed.
+const OWN_READ_FRACTION: f64 = 0.6;
 
 /// How reading a prompt ended.
 #[derive(Debug)]
 pub(super) enum PromptEnd {
-    /// It lies in the memory of a prefill server.
+    /// A prefill server holds the result in its memory.
     Read(EngineResource),
-    /// No prefill server reads it in time; its decode server reads it itself.
+    /// No prefill server can read it in time; its decode server reads it itself.
     LeftToDecode,
-    /// No prefill server read it, and too much of its objective has passed for its decode server to.
+    /// No prefill server read it, and too much of its objective has passed for its decode server to read it.
     Failed,
 }
 
-/// Has the prompt read by a prefill server, best in the failure domain of its decode server.
+/// Has the prompt read by a prefill server, preferably in the failure domain of its decode server.
 pub(super) async fn read_prompt(context: &CallContext, near: NameKey) -> PromptEnd {
     if context.is_trial {
-        // One server is enough to learn from.
+        // A request on trial is sent to its decode server only, since one server suffices for the trial.
         return PromptEnd::LeftToDecode;
     }
     let (kind, rank) = (ChoiceKind::PromptQueue(FULL_QUEUE_TOKENS), context.rank);
@@ -49,29 +49,29 @@
     }
     let mut reads = 0;
     for server in &ranked {
-        if reads >= MOST_READERS {
+        if reads >= MAX_READS {
             break;
         }
-        // The first read may have taken long enough for this server to leave.
+        // The first read may have taken so long that this server is draining now.
         if !context.host.state().fleet.is_ready(server.key()) {
             continue;
         }
         let Some(permit) = context.permit(server).await else {
             continue;
         };
-        // The first read is no repeat; each further one counts as one.
+        // The first read is not a retry; each further one counts as a retry.
         if reads > 0 && !context.host.take_retries(context.service, 1).await {
             break;
         }
         reads += 1;
         match read_at(context, server, permit).await {
             Ok(ReadEnd::Read(result)) => {
-                let keep = EngineResource::handle(&context.host, server.clone(), result);
-                return PromptEnd::Read(keep);
+                let resource = EngineResource::from_prefill(&context.host, server.clone(), result);
+                return PromptEnd::Read(resource);
             }
             Ok(ReadEnd::Rejected) => {
-                // Its queue is empty because it reads nothing: it changes its stage, and the host
-                // that ordered this has not said so, or is gone.
+                // Its queue is empty because it reads no prompts: it is changing its stage, and the
+                // host that ordered the change has not announced it, or is gone.
                 context.host.note_server(server, ServerNote::Erred);
                 let now = context.host.now();
                 context.host.state().changes.record_suspicion(now, server.key());
@@ -92,15 +92,15 @@
             }
         }
     }
-    after_failure(context)
+    fall_back(context)
 }
 
-/// What becomes of a prompt that no prefill server read. Its decode server holds memory for it already and
-/// reads it in time, unless too much of the objective has passed; a second prefill server would read it
-/// for nothing as often as the first one did whose answer was lost.
-fn after_failure(context: &CallContext) -> PromptEnd {
+/// Decides how to go on with a prompt that no prefill server read. Its decode server already holds memory for it and
+/// reads it in time, unless too much of the objective has passed. No second prefill server is tried, since its
+/// answer may get lost as often as the first one's, and its work would be wasted.
+fn fall_back(context: &CallContext) -> PromptEnd {
     let (age, objective) = (context.age(), context.route.objective);
-    if age > objective.mul_f64(OWN_READ_PART) {
+    if age > objective.mul_f64(OWN_READ_FRACTION) {
         return PromptEnd::Failed;
     }
     let (id, age) = (context.id(), age.as_millis());
@@ -108,17 +108,17 @@
     PromptEnd::LeftToDecode
 }
 
-/// How one server answered.
+/// How one server answered a request to read a prompt.
 #[derive(Debug)]
 enum ReadEnd {
     Read(PrefillResult),
     /// It did not read the prompt.
     Rejected,
-    /// Its answer has no result.
+    /// Its answer contains no result.
     Failed,
 }
 
-/// Reads the prompt at one server.
+/// Has the prompt read by one server.
 async fn read_at(
     context: &CallContext,
     server: &ServerEntry,
@@ -128,10 +128,11 @@
     let load = ServerLoad { requests: 1, prompt_tokens: tokens, ..ServerLoad::default() };
     let _load = LoadGuard::new(&context.host, server.key(), load);
     context.host.note_server(server, ServerNote::Sent);
-    let limit = READ_LIMIT.min(context.time_left());
+    let timeout = READ_TIMEOUT.min(context.time_left());
     let began = context.host.now();
-    let exchange = ask_reader(context, server, limit, &mut permit);
-    let read = tokio::time::timeout(limit, exchange).await.map_err(|_elapsed| Error::Timeout)??;
+    let exchange = request_read(context, server, timeout, &mut permit);
+    let read =
+        tokio::time::timeout(timeout, exchange).await.map_err(|_elapsed| Error::Timeout)??;
     if matches!(read, ReadEnd::Read(_)) {
         context.host.note_server(server, ServerNote::Served);
         let now = context.host.now();
@@ -141,29 +142,29 @@
     Ok(read)
 }
 
-async fn ask_reader(
+async fn request_read(
     context: &CallContext,
     server: &ServerEntry,
-    limit: Duration,
+    timeout: Duration,
     permit: &mut SendPermit,
 ) -> Result<ReadEnd> {
-    // No server checks whose result it hands over: one that was taken from another request's answer
-    // would be that request's prompt.
+    // Servers do not check to which request a result belongs: a result taken from another request's
+    // answer would be that request's prompt. The answer must therefore carry this request's id.
     let (purpose, part) = (CallPurpose::Read, CallPart::Prefill);
-    let rested = Duration::MAX;
-    let response = send_request(context, server, purpose, limit, part, rested, permit).await?;
+    let max_idle = Duration::MAX;
+    let response = send_request(context, server, purpose, timeout, part, max_idle, permit).await?;
     let kind = read_answer(&response);
     let status = response.status();
     let body = response.into_body();
-    // Only whole answers carry a signature; a prompt that was read has none.
+    // Only complete answers carry a signature; the answer to a prompt that was read has none.
     if status != StatusCode::OK {
         body.read_all().await?;
         let (id, server) = (context.id(), &server.id);
         log::info!(
             "event=prompt_unread request={id} server={server} status={status} kind={kind:?}"
         );
-        let turned_away = kind == AnswerKind::NotRun;
-        return Ok(if turned_away { ReadEnd::Rejected } else { ReadEnd::Failed });
+        let rejected = kind == AnswerKind::NotRun;
+        return Ok(if rejected { ReadEnd::Rejected } else { ReadEnd::Failed });
     }
     let result = body.read_as(|bytes| decode_body(bytes)).await?;
     Ok(ReadEnd::Read(result))
--- a/src/gateway/run_open.rs
+++ b/src/gateway/run_open.rs
@@ -1,4 +1,4 @@
-//! Opens a run of a request: holds memory, has the prompt read, sends the request to run.
+//! Opens a run of a request: reserves memory, has the prompt read and sends the request to run.
 
 use super::call_context::CallContext;
 use super::call_end::{CallEnd, NotRunReason};
@@ -16,37 +16,37 @@
 use http::{HeaderMap, StatusCode};
 use std::time::Duration;
 
-/// When a caller that found no memory may come back: about as long as a burst lasts, since one that returns
+/// Retry delay for a caller when no server has memory: about as long as a burst lasts, since a caller that returns
 /// earlier finds none either.
 const NO_MEMORY_PAUSE: Duration = Duration::from_secs(4);
-/// When a caller may come back whose request crashes servers: when that is forgotten.
+/// Retry delay for a caller whose request crashes servers: as long as crashes are remembered.
 const HELD_BACK_PAUSE: Duration = CRASH_LIFE;
-/// Spread of that pause, so that callers do not come back together, as a part of it.
-const PAUSE_SPREAD: f64 = 0.3;
-/// When a caller may come back after its server turned it away for another reason.
+/// Jitter of retry delays, as a fraction of them, so that callers do not all return at once.
+const PAUSE_JITTER: f64 = 0.3;
+/// Retry delay for a caller whose request is refused for another reason.
 const REJECTED_PAUSE: Duration = Duration::from_millis(200);
-/// When a caller may come back if no server takes work at all.
+/// Retry delay for a caller when no server accepts requests, or this host cannot decide on the request.
 const NO_SERVER_PAUSE: Duration = Duration::from_secs(1);
-/// A request turned away by its decode server is tried once more there while this part of its
-/// objective has not passed.
-const SECOND_TRY_PART: f64 = 0.8;
+/// A request that its decode server rejected is tried there once more while no more than this fraction of its
+/// objective has passed.
+const SECOND_TRY_FRACTION: f64 = 0.8;
 
 /// A run whose first event has arrived.
 #[derive(Debug)]
 pub(super) struct OpenRun {
-    /// Where it runs.
+    /// The server that runs it.
     pub server: ServerEntry,
     /// Status and headers of the answer.
     pub head: (StatusCode, HeaderMap),
-    /// Its further events.
+    /// Reads its further events.
     pub reader: EventReader,
     /// Its first event; `None` if it has none.
     pub first: Option<StreamEvent>,
-    /// Its place on the load board.
+    /// Its entry on the load board.
     pub load: LoadGuard,
 }
 
-/// Opens a run that continues after the event `after`, at as many servers as the route allows.
+/// Opens a run that continues after the event `after`, trying as many servers as the route allows.
 pub(super) async fn open_stream(
     context: &CallContext,
     engine: &EngineSpec,
@@ -62,9 +62,9 @@
             Err(failure) => failure,
         };
         if let OpenFailure::Rejected(server) = &failure {
-            match open_again(context, engine, after, server, runs).await {
+            match retry_rejected(context, engine, after, server, runs).await {
                 Ok(run) => return Ok(run),
-                Err(again) => failure = again,
+                Err(second) => failure = second,
             }
         }
         let end = match failure {
@@ -89,8 +89,8 @@
     }
 }
 
-/// A run that failed is repeated where the route allows it, and the retry bounds do: reading the
-/// prompt again and running again count as one repeat each.
+/// Whether a run that failed may be retried: the route and the retry budget must allow it. Reading the
+/// prompt again and running again count as one retry each.
 pub(super) async fn may_retry_run(context: &CallContext, runs: &RunRecord) -> bool {
     context.route.is_repeatable()
         && runs.sent < context.route.max_servers
@@ -98,131 +98,131 @@
         && context.host.take_retries(context.service, 2).await
 }
 
-/// The refusal of a request that did not run, with when its caller may come back.
+/// Refuses a request that did not run, with a retry delay for its caller.
 pub(super) fn refuse(reason: NotRunReason) -> CallEnd {
     let pause = match reason {
-        NotRunReason::NoMemory => spread(NO_MEMORY_PAUSE),
+        NotRunReason::NoMemory => jittered(NO_MEMORY_PAUSE),
         NotRunReason::HeldBack => HELD_BACK_PAUSE,
         NotRunReason::NoServer
         | NotRunReason::NotReady
         | NotRunReason::ConfigTooOld
         | NotRunReason::RouteUnknown
-        | NotRunReason::LimitUnknown => spread(NO_SERVER_PAUSE),
+        | NotRunReason::LimitUnknown => jittered(NO_SERVER_PAUSE),
         NotRunReason::PromptNotRead
         | NotRunReason::Rejected
         | NotRunReason::OutOfTime
-        | NotRunReason::ServersAtLimit => spread(REJECTED_PAUSE),
+        | NotRunReason::ServersAtLimit => jittered(REJECTED_PAUSE),
     };
     CallEnd::NotRun(reason, pause)
 }
 
-fn spread(pause: Duration) -> Duration {
-    let part = rand::random::<f64>().mul_add(PAUSE_SPREAD, 1.0 - PAUSE_SPREAD / 2.0);
-    pause.mul_f64(part)
+fn jittered(pause: Duration) -> Duration {
+    let factor = rand::random::<f64>().mul_add(PAUSE_JITTER, 1.0 - PAUSE_JITTER / 2.0);
+    pause.mul_f64(factor)
 }
 
-/// A server that is leaving still gets a request whose memory it has held for no longer than this:
-/// it serves on for 2 s after it said that it leaves.
-const LEAVING_SLACK: Duration = Duration::from_millis(1000);
+/// A draining server still receives a request whose memory it has held for no longer than this:
+/// it keeps serving for 2 s after it announced that it drains.
+const DRAINING_SLACK: Duration = Duration::from_millis(1000);
 
-/// Holds memory, has the prompt read, and sends the request to run.
+/// Reserves memory, has the prompt read and sends the request to run.
 async fn open_at_best(
     context: &CallContext,
     engine: &EngineSpec,
     after: Option<u64>,
     runs: &mut RunRecord,
 ) -> Result<OpenRun, OpenFailure> {
-    let mut room =
+    let mut reservation =
         reserve_memory(context, engine, after, &runs.lost).await.map_err(OpenFailure::NotRun)?;
     let held_at = context.host.now();
-    let mut prompt = match read_prompt(context, room.keep.server.domain).await {
-        PromptEnd::Read(keep) => Some(keep),
+    let mut prompt = match read_prompt(context, reservation.hold.server.domain).await {
+        PromptEnd::Read(resource) => Some(resource),
         PromptEnd::LeftToDecode => None,
         PromptEnd::Failed => return Err(OpenFailure::NotRun(NotRunReason::PromptNotRead)),
     };
     if context.time_left().is_zero() {
         return Err(OpenFailure::NotRun(NotRunReason::OutOfTime));
     }
-    // News of its other runs may have come while its prompt was read.
+    // Crashes under other attempts at this request may have become known while its prompt was read.
     if context.is_surely_held_back(runs.sent) {
         return Err(OpenFailure::NotRun(NotRunReason::HeldBack));
     }
-    if is_lost(context, &mut room.keep) {
-        room = reserve_memory(context, engine, after, &runs.lost)
+    if discard_if_lost(context, &mut reservation.hold) {
+        reservation = reserve_memory(context, engine, after, &runs.lost)
             .await
             .map_err(OpenFailure::NotRun)?;
     }
-    let server = room.keep.server.clone();
+    let server = reservation.hold.server.clone();
     let held_for = context.host.now().since(held_at);
-    if held_for > LEAVING_SLACK && !context.host.state().fleet.is_ready(server.key()) {
+    if held_for > DRAINING_SLACK && !context.host.state().fleet.is_ready(server.key()) {
         return Err(OpenFailure::NotRun(NotRunReason::Rejected));
     }
-    if prompt.as_mut().is_some_and(|keep| is_lost(context, keep)) {
+    if prompt.as_mut().is_some_and(|resource| discard_if_lost(context, resource)) {
         prompt = None;
     }
-    let source = prompt
-        .as_ref()
-        .and_then(|keep| keep.name().map(|name| (keep.server.address, name.to_owned())));
+    let source = prompt.as_ref().and_then(|resource| {
+        resource.name().map(|name| (resource.server.address, name.to_owned()))
+    });
     let part = DecodePart {
         source: source.as_ref().map(|(address, name)| (*address, name.as_str())),
-        hold: room.keep.name(),
+        hold: reservation.hold.name(),
         after_event: after,
     };
-    let mut permit = room.permit.renewed(context, &server).await.ok_or_else(at_limit)?;
+    let mut permit = reservation.permit.renewed(context, &server).await.ok_or_else(at_limit)?;
     let opened = run_at(context, &server, part, runs, &mut permit).await;
-    room.keep.used();
-    // A result that was fetched is gone at its server; one that was not lapses soon.
-    if let Some(keep) = prompt.as_mut().filter(|_| opened.is_ok()) {
-        keep.used();
+    reservation.hold.mark_used();
+    // A result that was fetched no longer exists at its server; one that was not fetched expires soon.
+    if let Some(resource) = prompt.as_mut().filter(|_| opened.is_ok()) {
+        resource.mark_used();
     }
     let (head, reader, first) = opened?;
-    Ok(OpenRun { server, head, reader, first, load: room.load })
+    Ok(OpenRun { server, head, reader, first, load: reservation.load })
 }
 
 fn at_limit() -> OpenFailure {
     OpenFailure::NotRun(NotRunReason::ServersAtLimit)
 }
 
-/// Whether what a server keeps for a request is gone, since the server has started again. It is neither used
-/// nor given back: its name may be that of another request's by now.
-fn is_lost(context: &CallContext, keep: &mut EngineResource) -> bool {
-    let lost = context.host.has_restarted(&keep.server);
+/// Discards a resource that is gone because its server has restarted; returns whether it is. The resource is neither
+/// used nor released: its name may belong to another request by now.
+fn discard_if_lost(context: &CallContext, resource: &mut EngineResource) -> bool {
+    let lost = context.host.has_restarted(&resource.server);
     if lost {
-        let (id, server) = (context.id(), &keep.server.id);
+        let (id, server) = (context.id(), &resource.server.id);
         log::info!("event=keep_lost request={id} server={server} cause=server_restarted");
-        keep.used();
+        resource.mark_used();
     }
     lost
 }
 
-/// Sends a request that was turned away with its prompt's result to the same server, which then
+/// Sends a request that was rejected with its prompt's result to the same server again, which then
 /// reads the prompt itself.
-async fn open_again(
+async fn retry_rejected(
     context: &CallContext,
     engine: &EngineSpec,
     after: Option<u64>,
     server: &ServerEntry,
     runs: &mut RunRecord,
 ) -> Result<OpenRun, OpenFailure> {
-    let turned_away = || OpenFailure::Rejected(server.clone());
-    let late = context.age() > context.route.objective.mul_f64(SECOND_TRY_PART);
-    let gone = context.host.has_restarted(server);
-    if late || gone || !context.host.take_retries(context.service, 1).await {
-        return Err(turned_away());
+    let rejected = || OpenFailure::Rejected(server.clone());
+    let late = context.age() > context.route.objective.mul_f64(SECOND_TRY_FRACTION);
+    let restarted = context.host.has_restarted(server);
+    if late || restarted || !context.host.take_retries(context.service, 1).await {
+        return Err(rejected());
     }
     let tokens = needed_tokens(context, engine, after);
     let mut permit = context.permit(server).await.ok_or_else(at_limit)?;
     let hold = acquire_hold(&context.host, server, tokens, engine.max_hold).await;
-    let Ok(Some(mut keep)) = hold else {
-        return Err(turned_away());
+    let Ok(Some(mut hold)) = hold else {
+        return Err(rejected());
     };
     let load = decode_load(context, server);
-    let part = DecodePart { source: None, hold: keep.name(), after_event: after };
+    let part = DecodePart { source: None, hold: hold.name(), after_event: after };
     let opened = run_at(context, server, part, runs, &mut permit).await;
-    keep.used();
+    hold.mark_used();
     if let Err(OpenFailure::Rejected(_)) = &opened {
-        // It granted a hold and turned the run away twice: it changes its stage, and the host that
-        // ordered this has not said so.
+        // It granted a hold and rejected the run twice: it is changing its stage, and the host that
+        // ordered the change has not announced it.
         let now = context.host.now();
         context.host.state().changes.record_suspicion(now, server.key());
     }
--- a/src/gateway/run_start.rs
+++ b/src/gateway/run_start.rs
@@ -14,16 +14,16 @@
 use http::{HeaderMap, StatusCode};
 use std::time::Duration;
 
-/// A decode server that has the prompt makes its first event within a few steps; silence beyond
-/// this lets a repeatable request go elsewhere.
-const FIRST_EVENT_LIMIT: Duration = Duration::from_millis(1500);
+/// A decode server that has the prompt makes its first event within a few steps; after a longer
+/// silence a repeatable request may be sent to another server.
+const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Why a run did not open.
 #[derive(Debug)]
 pub(super) enum OpenFailure {
-    /// Nothing ran: the request may be refused or sent again.
+    /// Nothing ran; the request may be refused or sent again.
     NotRun(NotRunReason),
-    /// The server turned it away with the prompt's result; it may read the prompt itself.
+    /// The server rejected it with the prompt's result; it may read the prompt itself.
     Rejected(ServerEntry),
     /// The server ran it and failed.
     Failed(ServerAnswer),
@@ -31,20 +31,20 @@
     Unknown(&'static str),
 }
 
-/// What became of a request's runs so far.
+/// What happened to a request's runs so far.
 #[derive(Debug, Default)]
 pub(super) struct RunRecord {
-    /// How often it was sent to run.
+    /// How many times it was sent to run.
     pub sent: u32,
-    /// Servers that lost a run; no further one is opened there.
+    /// Servers that lost a run; no further run is opened there.
     pub lost: Vec<ServerKey>,
-    /// One of its runs may have begun: the request as a whole can no longer be called not run.
+    /// Whether one of its runs may have begun: the request can then no longer be reported as not run.
     pub may_have_run: bool,
 }
 
 impl RunRecord {
-    /// A server broke a run off or fell silent.
-    pub fn note_lost(&mut self, server: ServerKey) {
+    /// Records that a server broke off a run or fell silent.
+    pub fn record_lost(&mut self, server: ServerKey) {
         self.lost.push(server);
     }
 }
@@ -62,14 +62,14 @@
 ) -> Result<RunStart, OpenFailure> {
     runs.sent += 1;
     context.host.note_server(server, ServerNote::Sent);
-    let may_repeat = context.route.is_repeatable() && runs.sent < context.route.max_servers;
-    let limit =
-        if may_repeat { FIRST_EVENT_LIMIT.min(context.time_left()) } else { context.time_left() };
-    let started = match tokio::time::timeout(limit, start_run(context, server, part, permit)).await
-    {
-        Ok(started) => started,
-        Err(_elapsed) => Err(OpenFailure::Unknown("no_first_event")),
-    };
+    let may_retry = context.route.is_repeatable() && runs.sent < context.route.max_servers;
+    let timeout =
+        if may_retry { FIRST_EVENT_TIMEOUT.min(context.time_left()) } else { context.time_left() };
+    let started =
+        match tokio::time::timeout(timeout, start_run(context, server, part, permit)).await {
+            Ok(started) => started,
+            Err(_elapsed) => Err(OpenFailure::Unknown("no_first_event")),
+        };
     let note = match &started {
         Ok(_) => ServerNote::Served,
         Err(OpenFailure::Unknown(_)) => ServerNote::Silent,
@@ -82,7 +82,7 @@
     started
 }
 
-/// The line that tells where a run began and who read its prompt, or why it did not begin.
+/// Logs where a run began and which stage read its prompt, or why it did not begin.
 fn log_start(
     context: &CallContext,
     server: &ServerEntry,
@@ -111,7 +111,7 @@
     );
 }
 
-fn broke_off(context: &CallContext, server: &ServerEntry, error: &Error) -> OpenFailure {
+fn break_off_failure(context: &CallContext, server: &ServerEntry, error: &Error) -> OpenFailure {
     context.note_failure(server, error);
     OpenFailure::Unknown("server_broke_off")
 }
@@ -128,7 +128,7 @@
         Ok(response) => response,
         Err(Error::NotSent(_)) => return Err(OpenFailure::Rejected(server.clone())),
         Err(Error::Foreign { .. }) => return Err(OpenFailure::Unknown("foreign_answer")),
-        Err(error) => return Err(broke_off(context, server, &error)),
+        Err(error) => return Err(break_off_failure(context, server, &error)),
     };
     let kind = read_answer(&response);
     let (parts, body) = response.into_parts();
@@ -136,18 +136,18 @@
         AnswerKind::Success => {
             let mut reader = EventReader::new(body);
             let first = reader.next().await;
-            let first = first.map_err(|error| broke_off(context, server, &error))?;
+            let first = first.map_err(|error| break_off_failure(context, server, &error))?;
             Ok(((parts.status, parts.headers), reader, first))
         }
         AnswerKind::Improper => Err(OpenFailure::Unknown("improper_answer")),
         AnswerKind::NotRun => {
-            // The connection is kept only if its answer is read to the end.
+            // The connection is kept only if the answer is read to its end.
             drop(body.read_all().await);
             Err(OpenFailure::Rejected(server.clone()))
         }
         AnswerKind::Failed => {
             let body = body.read_all().await;
-            let body = body.map_err(|error| broke_off(context, server, &error))?;
+            let body = body.map_err(|error| break_off_failure(context, server, &error))?;
             context.note_answered();
             let answer = ServerAnswer { status: parts.status, headers: parts.headers, body };
             Err(OpenFailure::Failed(answer))
--- a/src/gateway/send_owner.rs
+++ b/src/gateway/send_owner.rs
@@ -1,4 +1,4 @@
-//! Asks the owners of servers that have a limit before requests are sent there, and answers as one of them.
+//! Requests grants from the owners of limited servers before requests are sent there, and grants them as an owner.
 
 use super::gateway_host::GatewayHost;
 use super::gateway_state::GatewayState;
@@ -10,13 +10,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A grant that comes later than this is not used: the host was suspended meanwhile, and the window in which the
-/// owner counts it has gone on.
-const GRANT_LIFE: Duration = Duration::from_millis(250);
+/// A grant that arrives later than this is not used: the host was suspended meanwhile, and the window in which the
+/// owner counts the request has moved on.
+const GRANT_LIFETIME: Duration = Duration::from_millis(250);
 
 impl GatewayHost {
-    /// Asks for a request of `rank` to go to a server that has a limit; the moment at which it counts as sent, if
-    /// it may go.
+    /// Requests a grant to send a request of `rank` to a limited server. Returns the time at which the request counts
+    /// as sent, if it may be sent.
     pub(super) async fn request_send(
         &self,
         id: &str,
@@ -24,84 +24,84 @@
         rank: CallRank,
     ) -> Option<TimePoint> {
         let asked_at = self.now();
-        let ask = self.state().sends.ask(asked_at, server, rank, AskPurpose::Send);
-        let reply = self.ask_send_owner(&ask).await;
+        let request = self.state().sends.ask(asked_at, server, rank, AskPurpose::Send);
+        let reply = self.query_send_owner(&request).await;
         let now = self.now();
-        let in_time = reply.filter(|_| now.since(asked_at) < GRANT_LIFE);
-        let may_go = self.state().sends.hear_reply(now, &ask, in_time.as_ref());
+        let timely = reply.filter(|_| now.since(asked_at) < GRANT_LIFETIME);
+        let is_granted = self.state().sends.hear_reply(now, &request, timely.as_ref());
         let wait = match reply.map(|reply| reply.decision) {
             Some(SendDecision::Granted) => 0,
             Some(SendDecision::Refused { wait_ms }) => i64::from(wait_ms),
             None => -1,
         };
-        let limit = ask.news.limit.map(|limit| limit.per_second()).unwrap_or_default();
+        let limit = request.news.limit.map(|limit| limit.per_second()).unwrap_or_default();
         log::info!(
-            "event=send_asked request={id} life={:016x} limit={limit} version={} granted={may_go} \
+            "event=send_asked request={id} life={:016x} limit={limit} version={} granted={is_granted} \
              wait_ms={wait}",
             server.0,
-            ask.news.version
+            request.news.version
         );
-        self.metrics().add(if may_go { "sends_granted" } else { "sends_refused" }, 1);
-        may_go.then_some(now)
+        self.metrics().add(if is_granted { "sends_granted" } else { "sends_refused" }, 1);
+        is_granted.then_some(now)
     }
 
-    /// When a caller may come back that a server's limit leaves no room for now; `None` if its owner does not say.
+    /// Asks the owner of a server at its limit when a caller may retry; `None` if the owner does not answer.
     pub(super) async fn request_retry_pause(
         &self,
         server: ServerKey,
         rank: CallRank,
     ) -> Option<Duration> {
         let now = self.now();
-        let ask = self.state().sends.ask(now, server, rank, AskPurpose::ComeBack);
-        match self.ask_send_owner(&ask).await?.decision {
+        let request = self.state().sends.ask(now, server, rank, AskPurpose::ComeBack);
+        match self.query_send_owner(&request).await?.decision {
             SendDecision::Granted => Some(Duration::ZERO),
             SendDecision::Refused { wait_ms } => Some(Duration::from_millis(wait_ms.into())),
         }
     }
 
-    /// Tells a server's owner what this host sent there.
+    /// Reports to a server's owner what this host sent there.
     pub(super) fn notify_owner(&self, server: ServerKey, rank: CallRank, purpose: AskPurpose) {
         let now = self.now();
-        let ask = self.state().sends.ask(now, server, rank, purpose);
+        let request = self.state().sends.ask(now, server, rank, purpose);
         match self.send_owner(server) {
-            OwnerChoice::Own => drop(self.decide_send(self.incarnation, &ask)),
+            OwnerChoice::Own => drop(self.decide_send(self.incarnation, &request)),
             OwnerChoice::Other(owner) => {
-                self.send(owner.address, &GatewayDatagram::SendAsk(self.incarnation, ask));
+                self.send(owner.address, &GatewayDatagram::SendAsk(self.incarnation, request));
             }
             OwnerChoice::Unknown => {}
         }
     }
 
-    async fn ask_send_owner(&self, ask: &SendAsk) -> Option<SendReply> {
-        match self.send_owner(ask.news.server) {
-            OwnerChoice::Own => Some(self.decide_send(self.incarnation, ask)),
+    async fn query_send_owner(&self, request: &SendAsk) -> Option<SendReply> {
+        match self.send_owner(request.news.server) {
+            OwnerChoice::Own => Some(self.decide_send(self.incarnation, request)),
             OwnerChoice::Other(owner) => {
-                let question = GatewayDatagram::SendAsk(self.incarnation, ask.clone());
-                self.ask_twice(&self.send_waits, ask.sequence, owner, &question).await
+                let datagram = GatewayDatagram::SendAsk(self.incarnation, request.clone());
+                self.ask_twice(&self.send_waits, request.sequence, owner, &datagram).await
             }
             OwnerChoice::Unknown => None,
         }
     }
 
-    /// Answers another host's question.
+    /// Handles a request of another host.
     pub(super) fn receive_send_request(
         &self,
         from: SocketAddr,
         host: IncarnationId,
-        ask: &SendAsk,
+        request: &SendAsk,
     ) {
-        let reply = self.decide_send(host, ask);
-        if ask.purpose.wants_reply() {
+        let reply = self.decide_send(host, request);
+        if request.purpose.wants_reply() {
             self.send(from, &GatewayDatagram::SendReply(reply));
         }
     }
 
-    fn decide_send(&self, from: IncarnationId, ask: &SendAsk) -> SendReply {
+    fn decide_send(&self, from: IncarnationId, request: &SendAsk) -> SendReply {
         let now = self.now();
         let (reply, change) = {
             let mut state = self.state();
-            let is_owner = state.send_owner(now, ask.news.server) == OwnerChoice::Own;
-            state.sends.receive(now, from, ask, is_owner)
+            let is_owner = state.send_owner(now, request.news.server) == OwnerChoice::Own;
+            state.sends.receive(now, from, request, is_owner)
         };
         if let Some(change) = change {
             self.announce_limit_change(&change, "peer");
@@ -109,7 +109,7 @@
         reply
     }
 
-    /// Which host grants what goes to a server that has a limit.
+    /// The host that grants sends to a limited server.
     pub(super) fn send_owner(&self, server: ServerKey) -> OwnerChoice {
         let now = self.now();
         self.state().send_owner(now, server)
@@ -117,7 +117,7 @@
 }
 
 impl GatewayState {
-    /// Whether this host is the owner of a server that has a limit, and has been ever since a moment.
+    /// Whether this host is the owner of a limited server, and has been since `since` without a break.
     pub(super) fn has_owned_sends(
         &self,
         now: TimePoint,
@@ -134,8 +134,8 @@
             && has_owned(server, own.incarnation, others, since)
     }
 
-    /// The owner of a server that has a limit: one of the hosts of its failure domain, or of all if there are none
-    /// there, or the server is not known.
+    /// The owner of a limited server: one of the hosts of its failure domain, or of all hosts if the domain has none or
+    /// the server is unknown.
     fn send_owner(&self, now: TimePoint, server: ServerKey) -> OwnerChoice {
         let domain = self.fleet.entry(server).map(|entry| entry.domain);
         let near = domain.into_iter().flat_map(|domain| self.members.owners(domain));
--- a/src/gateway/send_permit.rs
+++ b/src/gateway/send_permit.rs
@@ -1,4 +1,4 @@
-//! The right to send one request to one backend server.
+//! Permission to send one request to one backend server.
 
 use super::call_context::CallContext;
 use super::call_end::{CallEnd, NotRunReason};
@@ -9,53 +9,54 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A request that is sent later than this after it was granted is asked for again: owners count for four seconds,
+/// A permit that is older than this when its request is sent must be granted again: owners count for four seconds,
 /// and reading a prompt takes about one.
-const PERMIT_LIFE: Duration = Duration::from_secs(2);
-/// When a caller may come back whose server's owner does not say.
-const UNTOLD_PAUSE: Duration = Duration::from_millis(500);
-/// The shortest pause that is worth naming.
-const LEAST_PAUSE: Duration = Duration::from_millis(20);
+const PERMIT_LIFETIME: Duration = Duration::from_secs(2);
+/// Retry delay for a caller if the owner of the server names none.
+const DEFAULT_PAUSE: Duration = Duration::from_millis(500);
+/// The shortest retry delay that is worth naming.
+const MIN_PAUSE: Duration = Duration::from_millis(20);
 
-/// One request counted as sent to a server; given back if it is dropped before it goes.
+/// Counts one request as sent to a server; the count is taken back if the permit is dropped before the request is sent.
 #[derive(Debug)]
 pub(super) struct SendPermit {
     host: Arc<GatewayHost>,
     server: ServerKey,
     rank: CallRank,
-    noted_at: TimePoint,
-    /// The server's owner granted it; other servers have no limit.
+    counted_at: TimePoint,
+    /// Whether the server's owner granted it; servers without a limit need no grant.
     is_granted: bool,
     is_used: bool,
 }
 
 impl SendPermit {
-    /// The request goes.
-    pub fn used(&mut self) {
+    /// Marks the request as sent.
+    pub fn mark_used(&mut self) {
         self.is_used = true;
     }
 
-    /// Certainly nothing of the request reached the server.
-    pub fn unused(&mut self) {
+    /// Marks the request as not sent: certainly nothing of it reached the server.
+    pub fn mark_unused(&mut self) {
         self.is_used = false;
     }
 
-    /// The same right now, after a while in which the server may have named a limit, or this host was suspended.
+    /// Renews the permit after a delay in which the server may have stated a limit, or this host may have been suspended;
+    /// `None` if it is refused.
     pub async fn renewed(self, context: &CallContext, server: &ServerEntry) -> Option<Self> {
         let mut permit = self;
         let now = permit.host.now();
         let needs_grant = permit.host.state().sends.limit(now, permit.server).is_some();
-        let is_old = now.since(permit.noted_at) > PERMIT_LIFE;
+        let is_old = now.since(permit.counted_at) > PERMIT_LIFETIME;
         if needs_grant && (is_old || !permit.is_granted) {
             drop(permit);
             return context.permit(server).await;
         }
         {
             let mut state = permit.host.state();
-            state.sends.log.take_back(permit.noted_at, permit.server);
+            state.sends.log.take_back(permit.counted_at, permit.server);
             state.sends.log.note(now, permit.server);
         }
-        permit.noted_at = now;
+        permit.counted_at = now;
         Some(permit)
     }
 }
@@ -65,7 +66,7 @@
         if self.is_used {
             return;
         }
-        self.host.state().sends.log.take_back(self.noted_at, self.server);
+        self.host.state().sends.log.take_back(self.counted_at, self.server);
         if self.is_granted {
             self.host.notify_owner(self.server, self.rank, AskPurpose::GiveBack);
         }
@@ -73,8 +74,8 @@
 }
 
 impl CallContext {
-    /// Asks for this request to be sent to a server, if that has a limit. Nothing is sent without a permit, so that
-    /// no way to a server passes its limit by.
+    /// Requests a permit to send this request to a server; only servers that have a limit can refuse it. Nothing is
+    /// sent without a permit, so that no path to a server bypasses its limit.
     pub async fn permit(&self, server: &ServerEntry) -> Option<SendPermit> {
         let (host, key, now) = (&self.host, server.key(), self.host.now());
         let is_limited = {
@@ -85,20 +86,20 @@
             }
             is_limited
         };
-        let noted_at =
+        let counted_at =
             if is_limited { host.request_send(self.id(), key, self.rank).await? } else { now };
         Some(SendPermit {
             host: Arc::clone(host),
             server: key,
             rank: self.rank,
-            noted_at,
+            counted_at,
             is_granted: is_limited,
             is_used: false,
         })
     }
 
-    /// Servers that would take this request but for their limit, with that.
-    fn closed_servers(&self, stage: Option<ServerStage>) -> Vec<(ServerKey, ServerLimit)> {
+    /// Servers that would accept this request but for their limit, with that limit.
+    fn servers_at_limit(&self, stage: Option<ServerStage>) -> Vec<(ServerKey, ServerLimit)> {
         let now = self.host.now();
         let state = self.host.state();
         let ready = state.fleet.ready(self.service);
@@ -109,34 +110,35 @@
             .collect()
     }
 
-    /// Whether servers would take this request but for their limit.
-    pub fn is_limited_out(&self, stage: Option<ServerStage>) -> bool {
-        !self.closed_servers(stage).is_empty()
+    /// Whether some servers would accept this request but for their limit.
+    pub fn is_blocked_by_limits(&self, stage: Option<ServerStage>) -> bool {
+        !self.servers_at_limit(stage).is_empty()
     }
 
-    /// The refusal of a request that only servers at their limit could take, with when one of them will.
+    /// Refuses a request that only servers at their limit could accept, with the time after which one of them will.
     pub async fn refuse_at_limit(&self, stage: Option<ServerStage>) -> CallEnd {
-        let closed = self.closed_servers(stage);
-        let told = match draw_server(&closed) {
+        let closed = self.servers_at_limit(stage);
+        let stated = match draw_server(&closed) {
             Some(server) => self.host.request_retry_pause(server, self.rank).await,
             None => None,
         };
-        let pause = told.unwrap_or(UNTOLD_PAUSE).max(LEAST_PAUSE);
+        let pause = stated.unwrap_or(DEFAULT_PAUSE).max(MIN_PAUSE);
         log::info!(
             "event=refused_at_limit request={} servers={} told={} come_back_ms={}",
             self.id(),
             closed.len(),
-            told.is_some(),
+            stated.is_some(),
             pause.as_millis()
         );
         CallEnd::NotRun(NotRunReason::ServersAtLimit, pause)
     }
 }
 
-/// One of the servers, each as likely as its limit is large: so callers are spread over them as they take them.
+/// Draws a server with a probability proportional to its limit, so that callers are spread over servers in proportion
+/// to what these accept.
 fn draw_server(servers: &[(ServerKey, ServerLimit)]) -> Option<ServerKey> {
-    let whole: f64 = servers.iter().map(|(_, limit)| limit.per_second()).sum();
-    let mut point = rand::random::<f64>() * whole;
+    let total: f64 = servers.iter().map(|(_, limit)| limit.per_second()).sum();
+    let mut point = rand::random::<f64>() * total;
     for (server, limit) in servers {
         point -= limit.per_second();
         if point <= 0.0 {
--- a/src/gateway/server_call.rs
+++ b/src/gateway/server_call.rs
@@ -1,4 +1,4 @@
-//! Sends calls to backend servers: what proves each answer, and what is told of those without proof.
+//! Sends calls to backend servers, verifies that each answer belongs to its call, and logs answers to other calls.
 
 use super::call_context::CallContext;
 use super::gateway_host::GatewayHost;
@@ -12,19 +12,19 @@
 use hyper::{Request, Response, StatusCode};
 use std::time::Duration;
 
-/// A new connection to a server within a site comes up within two round trips.
-const CONNECT_LIMIT: Duration = Duration::from_millis(250);
+/// A new connection to a server within a site is established within two round trips.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What a backend server is called for.
+/// The purpose of a call to a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallPurpose {
     /// Reading a prompt.
     Read,
-    /// Making tokens.
+    /// Generating tokens.
     Run,
     /// A whole request of a plain service.
     Plain,
-    /// Holds, reports and what is given back.
+    /// Holds, reports and releases.
     Control,
     /// Orders to an engine.
     Order,
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Requests of callers are told apart by their ids. Answers to the router's own calls have none; that
-    /// to an order says nothing but a status, and a wrong one would be believed.
+    /// How an answer is matched to its call. Callers' requests are distinguished by their ids; answers to the router's
+    /// own calls carry none. The answer to an order is only a status, so an answer to another call would be accepted.
     const fn proof(self) -> AnswerProof {
         match self {
             Self::Read | Self::Run | Self::Plain => AnswerProof::Id(REQUEST_ID),
@@ -52,7 +52,7 @@
     }
 }
 
-/// Sends a caller's request to a backend server, under a permit made just now.
+/// Sends a caller's request to a backend server, under a permit that was just granted or renewed.
 ///
 /// # Errors
 /// As [`send_call`].
@@ -62,27 +62,27 @@
     purpose: CallPurpose,
     left: Duration,
     part: CallPart<'_>,
-    rested: Duration,
+    max_idle: Duration,
     permit: &mut SendPermit,
 ) -> Result<Response<PooledBody>> {
     let request = context.call.to_server(server, left, part);
-    let limits = SendLimits { connect: CONNECT_LIMIT, rested };
+    let limits = SendLimits { connect: CONNECT_TIMEOUT, rested: max_idle };
     let (host, sent_at) = (&context.host, context.host.now());
     context.record_sent(sent_at);
-    // Also a request that is given up on its way may have arrived.
-    permit.used();
+    // A request that is abandoned while it is sent may have arrived all the same.
+    permit.mark_used();
     let response =
         send_call(host, server, purpose, request, limits).await.inspect_err(|error| {
             if matches!(error, Error::NotSent(_)) {
-                permit.unused();
+                permit.mark_unused();
             }
         })?;
     host.apply_named_limit(server, sent_at, &read_limit(response.headers()));
     Ok(response)
 }
 
-/// Calls an engine for the router's own purposes; `read` knows the answer by what it says, as far as it says
-/// something: a bare refusal of a hold, and the answer to what is given back, are believed as they are.
+/// Calls an engine for the router's own purposes. `read` verifies the answer by its contents as far as it has any:
+/// a refusal of a hold without a body and the answer to a release are accepted as they are.
 ///
 /// # Errors
 /// If there was no answer within `limit`, or `read` fails.
