--- a/src/bench/worlds/limit_exchange.rs
+++ b/src/bench/worlds/limit_exchange.rs
@@ -6,13 +6,13 @@
 use super::world_host::domain_key;
 use super::world_net::Parcel;
 use crate::keys::{IncarnationId, NameKey};
-use crate::limits::{LimitAnswer, LimitAsk, LimitShare, OwnerChoice, choose_owner};
+use crate::limits::{LimitReply, LimitRequest, LimitShare, OwnerChoice, choose_owner};
 use crate::membership::MemberUpdate;
 use rand::Rng;
 use std::time::Duration;
 
 impl LimitWorld {
-    pub fn ask_owner(&mut self, place: usize, ask: LimitAsk) {
+    pub fn ask_owner(&mut self, place: usize, ask: LimitRequest) {
         match self.owner(place, self.hosts[place].update.domain) {
             OwnerChoice::Own => {
                 let answer = self.grant(place, self.hosts[place].update.incarnation, &ask);
@@ -39,16 +39,16 @@
     }
 
     fn share(&self, place: usize) -> LimitShare {
-        let share = LimitShare::of_domain(&self.limit, &BOUNDS);
+        let share = LimitShare::for_domain(&self.limit, &BOUNDS);
         let (seen, known) = self.hosts[place].domain_hosts(self.now);
-        if self.sabotage == Sabotage::OwnWholePart { share } else { share.part(seen, known) }
+        if self.sabotage == Sabotage::OwnWholePart { share } else { share.scaled(seen, known) }
     }
 
-    pub fn grant(&mut self, place: usize, from: IncarnationId, ask: &LimitAsk) -> LimitAnswer {
+    pub fn grant(&mut self, place: usize, from: IncarnationId, ask: &LimitRequest) -> LimitReply {
         let (mut share, age) = (self.share(place), self.hosts[place].age(self.now));
         let is_owner = self.owner(place, self.hosts[place].update.domain) == OwnerChoice::Own;
         if !is_owner {
-            share.first = 0.0;
+            share.initial = 0.0;
         }
         let is_settled = is_owner
             && self.hosts[place].is_settled(self.now, BOUNDS.window)
@@ -65,12 +65,12 @@
     pub fn look_after_account(&mut self, place: usize) {
         let is_owner = self.owner(place, self.hosts[place].update.domain) == OwnerChoice::Own;
         let host = &mut self.hosts[place];
-        let (age, looked_at) = (host.age(self.now), host.tools.ledger.term().looked_at());
+        let (age, looked_at) = (host.age(self.now), host.tools.ledger.term().renewed_at());
         // Its own clock began with its life.
         let since = self.now - age.since(looked_at);
         let has_owned = is_owner && host.has_owned(org(), since);
         if self.sabotage != Sabotage::KeepLostAccounts {
-            host.tools.ledger.look_after(age, |_| has_owned);
+            host.tools.ledger.check_ownership(age, |_| has_owned);
         }
     }
 
@@ -85,9 +85,9 @@
             })
             .collect();
         let age = self.hosts[place].age(self.now);
-        let loans = self.hosts[place].tools.ledger.ask_loans(age, org(), share, lenders.len());
+        let loans = self.hosts[place].tools.ledger.request_loans(age, org(), share, lenders.len());
         for (lender, loan) in lenders.into_iter().zip(loans) {
-            self.send(place, lender, ParcelBody::LoanAsk(loan));
+            self.send(place, lender, ParcelBody::LoanRequest(loan));
         }
     }
 
@@ -129,29 +129,31 @@
                     self.hear(place, &open.ask, &answer);
                 }
             }
-            ParcelBody::LoanAsk(ask) => {
+            ParcelBody::LoanRequest(ask) => {
                 let loan = self.hosts[place].tools.ledger.lend(age, &ask, &share);
                 if let Some(loan) = loan {
                     self.send(place, parcel.from, ParcelBody::Loan(loan));
                 }
             }
-            ParcelBody::Loan(loan) => self.hosts[place].tools.ledger.borrow(age, &loan, &share),
+            ParcelBody::Loan(loan) => {
+                self.hosts[place].tools.ledger.accept_loan(age, &loan, &share)
+            }
         }
     }
 
-    fn hear(&mut self, place: usize, ask: &LimitAsk, answer: &LimitAnswer) {
+    fn hear(&mut self, place: usize, ask: &LimitRequest, answer: &LimitReply) {
         let age = self.hosts[place].age(self.now);
-        self.hosts[place].tools.meter.hear(age, answer, ask.units);
+        self.hosts[place].tools.meter.apply_reply(age, answer, ask.units);
         if answer.refused_ms.is_none() {
             self.admit(ask.units);
         }
     }
 
-    fn use_alone(&mut self, place: usize, ask: &LimitAsk) {
+    fn use_alone(&mut self, place: usize, ask: &LimitRequest) {
         let age = self.hosts[place].age(self.now);
         let (_, known) = self.hosts[place].domain_hosts(self.now);
-        let share = LimitShare::of_domain(&self.limit, &BOUNDS);
-        if self.hosts[place].tools.meter.use_alone(age, org(), ask.units, &share, known) {
+        let share = LimitShare::for_domain(&self.limit, &BOUNDS);
+        if self.hosts[place].tools.meter.use_without_owner(age, org(), ask.units, &share, known) {
             self.admit(ask.units);
         }
     }
@@ -171,7 +173,7 @@
             // The process that asked may be another one by now.
             if host.runs(now) {
                 let age = host.age(now);
-                host.silent.note(age, ask.owner);
+                host.silent.record(age, ask.owner);
                 self.use_alone(ask.host, &ask.ask);
             }
         }
--- a/src/bench/worlds/limit_parts.rs
+++ b/src/bench/worlds/limit_parts.rs
@@ -1,6 +1,6 @@
 use super::world_host::WorldHost;
 use crate::keys::{IncarnationId, TimePoint};
-use crate::limits::{LimitAnswer, LimitAsk, LimitLedger, LimitLoan, LimitMeter, LoanAsk};
+use crate::limits::{LimitLedger, LimitLoan, LimitMeter, LimitReply, LimitRequest, LoanRequest};
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -19,16 +19,16 @@
 pub(super) struct OpenAsk {
     pub host: usize,
     pub owner: IncarnationId,
-    pub ask: LimitAsk,
+    pub ask: LimitRequest,
     pub until: TimePoint,
 }
 
 /// What hosts send each other.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum ParcelBody {
-    Ask(LimitAsk),
-    Answer(LimitAnswer),
-    LoanAsk(LoanAsk),
+    Ask(LimitRequest),
+    Answer(LimitReply),
+    LoanRequest(LoanRequest),
     Loan(LimitLoan),
 }
 
--- a/src/bench/worlds/limit_world.rs
+++ b/src/bench/worlds/limit_world.rs
@@ -144,7 +144,7 @@
         let units = self.rng.random_range(REQUEST_UNITS);
         self.report.tried += u64::from(units);
         let age = self.hosts[place].age(self.now);
-        let ask = self.hosts[place].tools.meter.ask(age, org(), units);
+        let ask = self.hosts[place].tools.meter.request_units(age, org(), units);
         self.ask_owner(place, ask);
     }
 
@@ -155,7 +155,7 @@
             }
             self.look_after_account(place);
             let age = self.hosts[place].age(self.now);
-            for ask in self.hosts[place].tools.meter.untold(age) {
+            for ask in self.hosts[place].tools.meter.unsent(age) {
                 match self.owner(place, self.hosts[place].update.domain) {
                     OwnerChoice::Own => {
                         self.grant(place, self.hosts[place].update.incarnation, &ask);
--- a/src/bench/worlds/send_exchange.rs
+++ b/src/bench/worlds/send_exchange.rs
@@ -8,7 +8,7 @@
 use crate::keys::TimePoint;
 use crate::limits::{OwnerChoice, choose_owner};
 use crate::membership::MemberUpdate;
-use crate::server_limits::{AskPurpose, CallRank, LOG_TIME, SendReply, SendTrail};
+use crate::server_limits::{CallRank, LOG_RETENTION, PermitPurpose, PermitReply, SendHistory};
 use rand::Rng;
 use std::time::Duration;
 
@@ -26,22 +26,22 @@
         while let Some(server) = request.servers.pop() {
             let (age, key) = (self.hosts[place].age(self.now), self.servers[server].key);
             let sends = &mut self.hosts[place].tools;
-            if sends.book.limit(key).is_none() {
-                sends.log.note(age, key);
+            if sends.limits.limit(key).is_none() {
+                sends.log.record(age, key);
                 return self.fly(place, server, age);
             }
             if !sends.is_open(age, key, request.rank) {
                 continue;
             }
-            let mut ask = sends.ask(age, key, request.rank, AskPurpose::Send);
+            let mut ask = sends.permit_request(age, key, request.rank, PermitPurpose::Send);
             if self.sabotage == Sabotage::TellNoTrail {
-                ask.trail = SendTrail::default();
+                ask.history = SendHistory::default();
             }
             match self.owner(place, server) {
                 OwnerChoice::Own => {
                     let life = self.hosts[place].update.incarnation;
                     let (reply, _) = self.hosts[place].tools.receive(age, life, &ask, true);
-                    if self.hosts[place].tools.hear_reply(age, &ask, Some(&reply)) {
+                    if self.hosts[place].tools.apply_reply(age, &ask, Some(&reply)) {
                         return self.fly(place, server, age);
                     }
                 }
@@ -57,7 +57,7 @@
                     return self.send(place, owner, SendBody::Ask(ask));
                 }
                 OwnerChoice::Unknown => {
-                    self.hosts[place].tools.hear_reply(age, &ask, None);
+                    self.hosts[place].tools.apply_reply(age, &ask, None);
                 }
             }
         }
@@ -84,7 +84,7 @@
             return;
         }
         let age = self.hosts[place].age(self.now);
-        let news = self.hosts[place].tools.book.untold(age);
+        let news = self.hosts[place].tools.limits.unsent(age);
         if news.is_empty() {
             return;
         }
@@ -105,7 +105,7 @@
                 .filter(|server| self.owner(place, *server) == OwnerChoice::Own)
                 .map(|server| self.servers[server].key)
                 .collect();
-            self.hosts[place].tools.desk.retain(age, |server| owned.contains(&server));
+            self.hosts[place].tools.ledger.retain(age, |server| owned.contains(&server));
             for server in 0..self.servers.len() {
                 self.tell_trail(place, server, age);
             }
@@ -115,11 +115,12 @@
     fn tell_trail(&mut self, place: usize, server: usize, age: TimePoint) {
         let key = self.servers[server].key;
         let sends = &mut self.hosts[place].tools;
-        let is_told = sends.book.limit(key).is_some() && sends.log.recent(age, key, LOG_TIME) > 0;
+        let is_told =
+            sends.limits.limit(key).is_some() && sends.log.recent(age, key, LOG_RETENTION) > 0;
         if !is_told || self.sabotage == Sabotage::TellNoTrail {
             return;
         }
-        let ask = sends.ask(age, key, CallRank::default(), AskPurpose::Tell);
+        let ask = sends.permit_request(age, key, CallRank::default(), PermitPurpose::Report);
         match self.owner(place, server) {
             OwnerChoice::Own => {
                 let life = self.hosts[place].update.incarnation;
@@ -156,17 +157,17 @@
         let age = host.age(self.now);
         match parcel.body {
             SendBody::News(news) => {
-                let book = &mut self.hosts[place].tools.book;
+                let book = &mut self.hosts[place].tools.limits;
                 let merged = news.iter().filter_map(|news| book.merge(age, news)).count();
                 if merged > 0 {
                     self.tell_news(place);
                 }
             }
             SendBody::Answered(answered) => {
-                self.hosts[place].tools.hear_answered(age, &answered);
+                self.hosts[place].tools.apply_observation(age, &answered);
             }
             SendBody::Ask(ask) => {
-                let server = self.servers.iter().position(|server| server.key == ask.news.server);
+                let server = self.servers.iter().position(|server| server.key == ask.update.server);
                 let Some(server) = server else { return };
                 let is_owner = self.owner(place, server) == OwnerChoice::Own;
                 let life = parcel.from.incarnation;
@@ -198,19 +199,19 @@
             let host = &mut self.hosts[ask.host];
             if host.runs(now) {
                 let age = host.age(now);
-                host.silent.note(age, ask.owner);
+                host.silent.record(age, ask.owner);
                 self.end_ask(ask, None);
             }
         }
     }
 
     /// A question ended; the request goes there, or to its next server.
-    fn end_ask(&mut self, open: OpenSend, reply: Option<&SendReply>) {
+    fn end_ask(&mut self, open: OpenSend, reply: Option<&PermitReply>) {
         let OpenSend { host: place, ask, mut request, .. } = open;
         let age = self.hosts[place].age(self.now);
         let tools = &mut self.hosts[place].tools;
         let Some(server) = request.servers.pop() else { return };
-        if tools.hear_reply(age, &ask, reply) {
+        if tools.apply_reply(age, &ask, reply) {
             return self.fly(place, server, age);
         }
         self.send_on(place, request);
--- a/src/bench/worlds/send_flights.rs
+++ b/src/bench/worlds/send_flights.rs
@@ -62,14 +62,14 @@
         let key = self.servers[flight.server].key;
         let tools = &mut self.hosts[flight.host].tools;
         let limit = limit.filter(|_| self.sabotage != Sabotage::IgnoreServerLimits);
-        let (change, told) = tools.hear_answer(age, flight.sent_at, key, limit);
+        let (change, told) = tools.apply_answer(age, flight.sent_at, key, limit);
         if change.is_some() {
             self.tell_news(flight.host);
         }
         let Some(answered) = told else { return };
         match self.owner(flight.host, flight.server) {
             OwnerChoice::Own => {
-                self.hosts[flight.host].tools.hear_answered(age, &answered);
+                self.hosts[flight.host].tools.apply_observation(age, &answered);
             }
             OwnerChoice::Other(owner) => {
                 self.send(flight.host, owner, SendBody::Answered(answered));
--- a/src/bench/worlds/send_parts.rs
+++ b/src/bench/worlds/send_parts.rs
@@ -1,7 +1,7 @@
 use super::world_host::WorldHost;
 use crate::keys::{IncarnationId, NameKey, ServerKey, TimePoint};
 use crate::server_limits::{
-    CallRank, LimitAnswered, LimitNews, SendAsk, SendControl, SendReply, ServerLimit,
+    CallRank, LimitObservation, LimitUpdate, PermitReply, PermitRequest, SendControl, ServerLimit,
 };
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -24,7 +24,7 @@
 pub(super) struct OpenSend {
     pub host: usize,
     pub owner: IncarnationId,
-    pub ask: SendAsk,
+    pub ask: PermitRequest,
     pub until: TimePoint,
     pub request: WorldRequest,
 }
@@ -40,10 +40,10 @@
 /// What hosts send each other.
 #[derive(Debug, Clone)]
 pub(super) enum SendBody {
-    News(Vec<LimitNews>),
-    Ask(SendAsk),
-    Reply(SendReply),
-    Answered(LimitAnswered),
+    News(Vec<LimitUpdate>),
+    Ask(PermitRequest),
+    Reply(PermitReply),
+    Answered(LimitObservation),
 }
 
 /// A request on its way to a server, or its answer on its way back.
--- a/src/gateway/call_route.rs
+++ b/src/gateway/call_route.rs
@@ -88,7 +88,7 @@
     {
         let mut state = host.state();
         let bounds = state.bounds.retries;
-        state.retries.entry(service).or_default().note_request(received_at, &bounds);
+        state.retries.entry(service).or_default().record_request(received_at, &bounds);
     }
     let organisation = organisation.as_deref();
     let contents = host.request_hasher.key(&RequestContents {
--- a/src/gateway/crash_news.rs
+++ b/src/gateway/crash_news.rs
@@ -28,7 +28,7 @@
 impl GatewayHost {
     fn tell_crashes(&self) {
         let now = self.now();
-        let report = self.state().crashes.untold(now);
+        let report = self.state().crashes.unsent(now);
         if report.is_empty() {
             return;
         }
--- a/src/gateway/crash_store.rs
+++ b/src/gateway/crash_store.rs
@@ -166,7 +166,7 @@
         let (expected, report) = {
             let now = self.now();
             let state = self.state();
-            (state.crashes_revision, state.crashes.whole_report(now))
+            (state.crashes_revision, state.crashes.full_report(now))
         };
         let CrashReport { crashes, .. } = report;
         let spec = encode_crashes(&crashes, SystemTime::now());
@@ -174,7 +174,7 @@
             StoreWrite::Written(object) => {
                 let mut state = self.state();
                 state.crashes_revision = state.crashes_revision.max(Some(object.revision));
-                state.crashes.note_saved(&crashes);
+                state.crashes.record_saved(&crashes);
                 drop(state);
                 let (count, revision) = (crashes.len(), object.revision);
                 log::info!("event=crashes_saved count={count} revision={revision}");
--- a/src/gateway/crash_watch.rs
+++ b/src/gateway/crash_watch.rs
@@ -5,7 +5,7 @@
 use crate::Error;
 use crate::fleet::ServerEntry;
 use crate::keys::{RequestKey, ServerKey, TimePoint};
-use crate::quarantine::{BreakOff, CrashEvidence, NEWS_TIME, RequestVerdict};
+use crate::quarantine::{ConnectionLoss, CrashEvidence, RequestVerdict, SETTLE_TIME};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
     /// A server answered this request whole.
     pub fn note_answered(&self) {
         let now = self.host.now();
-        self.host.state().crashes.note_served(now, self.contents);
+        self.host.state().crashes.record_served(now, self.contents);
     }
 
     /// Whether this request, which was sent to `sent` servers, must go to no further one since it crashes them. Asked
@@ -62,7 +62,7 @@
     /// Whether a request is held back, as soon as that can be told: one that seems to crash servers waits until it is known
     /// who else was there. If that takes longer than it has `left`, or ever more servers crash meanwhile, it is sent on.
     async fn settled_hold(&self, id: &str, request: RequestKey, left: Duration) -> bool {
-        let patience = left.min(NEWS_TIME);
+        let patience = left.min(SETTLE_TIME);
         let (began, mut waited) = (self.now(), Duration::ZERO);
         loop {
             let verdict = self.state().crashes.verdict(request);
@@ -97,7 +97,7 @@
         if is_oldest && state.crashes.take_trial(now, request) {
             return RequestAdmission::Trial(evidence);
         }
-        state.crashes.note_return(now, request);
+        state.crashes.record_return(now, request);
         RequestAdmission::HeldBack(evidence)
     }
 
@@ -108,7 +108,7 @@
         began_at: TimePoint,
     ) {
         let key = server.key();
-        let broken = BreakOff { request, began_at, broke_at: self.now() };
+        let broken = ConnectionLoss { request, sent_at: began_at, lost_at: self.now() };
         let is_first = {
             let mut state = self.state();
             if state.crashes.has_crashed(key) {
@@ -117,7 +117,7 @@
                 return;
             }
             // A server that leaves as planned may end while a request is still there.
-            state.fleet.is_ready(key) && state.break_offs.note(key, broken)
+            state.fleet.is_ready(key) && state.unconfirmed_crashes.record_loss(key, broken)
         };
         if is_first {
             let (host, server) = (Arc::clone(self), server.clone());
@@ -131,14 +131,14 @@
         tokio::time::sleep(ASK_PAUSE).await;
         let outcome = match self.pool.warm(server.address, ASK_LIMIT).await {
             Err(error) if error.is_refused_connection() => {
-                let broken = self.state().break_offs.confirm(server.key());
+                let broken = self.state().unconfirmed_crashes.confirm(server.key());
                 self.note_crash(server.key(), &server.id, &broken, "connection_refused");
                 return;
             }
             Ok(()) => "reached".to_owned(),
             Err(error) => error.to_string(),
         };
-        self.state().break_offs.note_asked(server.key());
+        self.state().unconfirmed_crashes.record_probed(server.key());
         log::info!("event=server_asked server={} outcome=\"{outcome}\"", server.id);
     }
 
@@ -149,19 +149,19 @@
             let mut state = self.state();
             let state = &mut *state;
             let fleet = &state.fleet;
-            state.break_offs.settle(now, |key| fleet.entry(key).is_none())
+            state.unconfirmed_crashes.settle(now, |key| fleet.entry(key).is_none())
         };
         for (server, broken) in crashed {
             self.note_crash(server, "-", &broken, "entry_gone");
         }
     }
 
-    fn note_crash(&self, server: ServerKey, id: &str, all_broken: &[BreakOff], sign: &str) {
+    fn note_crash(&self, server: ServerKey, id: &str, all_broken: &[ConnectionLoss], sign: &str) {
         let now = self.now();
         for broken in all_broken {
             let (is_new, evidence) = {
                 let mut state = self.state();
-                let is_new = state.crashes.note_broken(now, server, broken);
+                let is_new = state.crashes.record_loss(now, server, broken);
                 (is_new, state.crashes.evidence(broken.request))
             };
             if !is_new {
@@ -169,7 +169,7 @@
             }
             self.metrics().add("crashes_noted", 1);
             let (life, request) = (server.0, broken.request);
-            let ran_ms = broken.broke_at.since(broken.began_at).as_millis();
+            let ran_ms = broken.lost_at.since(broken.sent_at).as_millis();
             log::info!(
                 "event=server_crashed server={id} life={life:016x} contents={request} sign={sign} \
                  ran_ms={ran_ms} {evidence} held_back={}",
--- a/src/gateway/gateway_host.rs
+++ b/src/gateway/gateway_host.rs
@@ -5,16 +5,16 @@
 use crate::fleet::{FleetView, RefusedHosts, ServerEntry, StageChanges, ViewFreshness};
 use crate::host::lock;
 use crate::keys::{HostClock, IncarnationId, NameKey, RequestHasher, TimePoint};
-use crate::limits::{LimitAnswer, LimitLedger, LimitMeter, SilentOwners};
+use crate::limits::{LimitLedger, LimitMeter, LimitReply, SilentOwners};
 use crate::membership::{MemberTable, MemberUpdate};
 use crate::organisations::{ConfigAge, KeyHasher};
 use crate::peers::{PeerClient, ViewFetches};
 use crate::placement::{DomainGates, GrantBook, LoadBoard, ServerNote};
 use crate::platform::StoreClient;
-use crate::quarantine::{BreakOffs, CrashBook};
+use crate::quarantine::{CrashTracker, UnconfirmedCrashes};
 use crate::retries::{RetryPools, RetryReply};
 use crate::routes::RouteTable;
-use crate::server_limits::{SendControl, SendReply};
+use crate::server_limits::{PermitReply, SendControl};
 use crate::settings::GatewaySettings;
 use crate::telemetry::MetricBook;
 use std::collections::HashMap;
@@ -76,8 +76,8 @@
     pub(super) request_hasher: RequestHasher,
     /// Requests that wait for an answer about the age of the configuration.
     pub(super) age_heard: Notify,
-    pub(super) limit_waits: ReplyWaits<LimitAnswer>,
-    pub(super) send_waits: ReplyWaits<SendReply>,
+    pub(super) limit_waits: ReplyWaits<LimitReply>,
+    pub(super) send_waits: ReplyWaits<PermitReply>,
     pub(super) retry_waits: ReplyWaits<RetryReply>,
     pub(super) load_serial: AtomicU64,
     pub(super) view_fetches: Mutex<ViewFetches>,
@@ -118,8 +118,8 @@
             work: HashMap::new(),
             heard_work: HashMap::new(),
             changes: StageChanges::default(),
-            break_offs: BreakOffs::default(),
-            crashes: CrashBook::default(),
+            unconfirmed_crashes: UnconfirmedCrashes::default(),
+            crashes: CrashTracker::default(),
             crashes_revision: None,
             sends: SendControl::default(),
             answered_at: TimePoint::default(),
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -5,7 +5,7 @@
 use crate::membership::{MemberTable, MemberUpdate, ViewMark};
 use crate::organisations::ConfigAge;
 use crate::placement::{DomainGates, GrantBook, LoadBoard, ServerHealth, WorkMeter, WorkSums};
-use crate::quarantine::{BreakOffs, CrashBook};
+use crate::quarantine::{CrashTracker, UnconfirmedCrashes};
 use crate::retries::{RetryPools, RetryWindow};
 use crate::routes::{RouteTable, ServiceKey};
 use crate::server_limits::SendControl;
@@ -57,9 +57,9 @@
     /// Engines that change their stage.
     pub changes: StageChanges,
     /// Servers that broke connections off and may have crashed.
-    pub break_offs: BreakOffs,
+    pub unconfirmed_crashes: UnconfirmedCrashes,
     /// Servers that crashed, and under which requests.
-    pub crashes: CrashBook,
+    pub crashes: CrashTracker,
     /// Revision of the store's copy of the crashes; `None` if it has none.
     pub crashes_revision: Option<u64>,
     /// What this host sends and grants under the limits that backend servers named.
@@ -139,7 +139,7 @@
         for (server, until) in self.fleet.cold(now) {
             let spec = self.routes.service(server.service);
             if let Some(limit) = spec.and_then(|spec| spec.cold_limit) {
-                self.sends.cold.note(server.key(), until, limit);
+                self.sends.cold.record(server.key(), until, limit);
             }
         }
     }
--- a/src/gateway/limit_answers.rs
+++ b/src/gateway/limit_answers.rs
@@ -6,7 +6,7 @@
 use crate::keys::TimePoint;
 use crate::limits::OwnerChoice;
 use crate::platform::LimitNaming;
-use crate::server_limits::LimitAnswered;
+use crate::server_limits::LimitObservation;
 
 impl GatewayHost {
     /// Applies the limit in a server's answer to a request sent at `sent_at`. The answer is known to belong to that
@@ -27,7 +27,7 @@
             }
         };
         let (now, key) = (self.now(), server.key());
-        let (change, report) = self.state().sends.hear_answer(now, sent_at, key, limit);
+        let (change, report) = self.state().sends.apply_answer(now, sent_at, key, limit);
         if let Some(change) = change {
             self.announce_limit_change(&change, "answer");
         }
@@ -36,11 +36,11 @@
         }
     }
 
-    fn send_limit_answered(&self, answered: &LimitAnswered) {
-        match self.send_owner(answered.news.server) {
+    fn send_limit_answered(&self, answered: &LimitObservation) {
+        match self.send_owner(answered.update.server) {
             OwnerChoice::Own => self.receive_limit_answered(answered),
             OwnerChoice::Other(owner) => {
-                self.send(owner.address, &GatewayDatagram::LimitAnswered(*answered));
+                self.send(owner.address, &GatewayDatagram::LimitObservation(*answered));
             }
             // A host that knows no owner sends nothing to the server; the next answer reports its limit again.
             OwnerChoice::Unknown => {}
@@ -49,9 +49,9 @@
 
     /// Handles the report of a limited server's answer to this host, or to another one that takes this one for the
     /// server's owner.
-    pub(super) fn receive_limit_answered(&self, answered: &LimitAnswered) {
+    pub(super) fn receive_limit_answered(&self, answered: &LimitObservation) {
         let now = self.now();
-        let changes = self.state().sends.hear_answered(now, answered);
+        let changes = self.state().sends.apply_observation(now, answered);
         for change in changes {
             self.announce_limit_change(&change, "owner");
         }
--- a/src/gateway/limit_charge.rs
+++ b/src/gateway/limit_charge.rs
@@ -8,7 +8,8 @@
 use super::run_open::refuse;
 use crate::keys::{IncarnationId, NameKey, OrgKey, TimePoint};
 use crate::limits::{
-    LimitAnswer, LimitAsk, LimitLoan, LimitShare, LoanAsk, OwnerChoice, choose_owner, has_owned,
+    LimitLoan, LimitReply, LimitRequest, LimitShare, LoanRequest, OwnerChoice, choose_owner,
+    has_owned,
 };
 use crate::membership::{MemberState, MemberUpdate};
 use std::collections::HashSet;
@@ -63,7 +64,7 @@
     pub fn refund_charge(&self) {
         let Some(charge) = self.charge else { return };
         let now = self.host.now();
-        self.host.state().meter.give_back(now, charge.org, charge.units);
+        self.host.state().meter.release(now, charge.org, charge.units);
     }
 }
 
@@ -81,7 +82,7 @@
     async fn ask_owner(self: &Arc<Self>, id: &str, charge: LimitCharge) -> OwnerReply {
         let ask = {
             let now = self.now();
-            self.state().meter.ask(now, charge.org, charge.units)
+            self.state().meter.request_units(now, charge.org, charge.units)
         };
         let mut answer = self.ask_once(&ask).await;
         while answer.is_none() && self.is_young() {
@@ -95,14 +96,15 @@
                 return OwnerReply::Granted;
             };
             let (_, hosts) = state.count_domain_hosts(self.domain());
-            let allowed = state.meter.use_alone(now, charge.org, charge.units, &share, hosts);
+            let allowed =
+                state.meter.use_without_owner(now, charge.org, charge.units, &share, hosts);
             let (org, units) = (charge.org.0, charge.units);
             log::info!(
                 "event=limit_alone request={id} org={org:016x} units={units} allowed={allowed}"
             );
             return if allowed { OwnerReply::Granted } else { OwnerReply::Unknown };
         };
-        state.meter.hear(now, &answer, charge.units);
+        state.meter.apply_reply(now, &answer, charge.units);
         match answer.refused_ms {
             None => OwnerReply::Granted,
             Some(millis) => OwnerReply::Refused(Duration::from_millis(millis.into())),
@@ -114,7 +116,7 @@
         self.now().since(TimePoint::default()) < YOUNG_AGE
     }
 
-    async fn ask_once(&self, ask: &LimitAsk) -> Option<LimitAnswer> {
+    async fn ask_once(&self, ask: &LimitRequest) -> Option<LimitReply> {
         let now = self.now();
         let owner = self.state().owner(now, ask.org, self.domain());
         match owner {
@@ -124,8 +126,8 @@
         }
     }
 
-    async fn ask_other(&self, owner: MemberUpdate, ask: &LimitAsk) -> Option<LimitAnswer> {
-        let question = GatewayDatagram::LimitAsk(self.incarnation, *ask);
+    async fn ask_other(&self, owner: MemberUpdate, ask: &LimitRequest) -> Option<LimitReply> {
+        let question = GatewayDatagram::LimitRequest(self.incarnation, *ask);
         let answer = self.ask_twice(&self.limit_waits, ask.sequence, owner, &question).await;
         if answer.is_none() {
             let (owner, org) = (owner.incarnation, ask.org.0);
@@ -135,7 +137,7 @@
     }
 
     /// Grants or refuses as the owner; nothing if the organisation has no limit here.
-    fn grant(&self, now: TimePoint, from: IncarnationId, ask: &LimitAsk) -> Option<LimitAnswer> {
+    fn grant(&self, now: TimePoint, from: IncarnationId, ask: &LimitRequest) -> Option<LimitReply> {
         let (answer, share, is_short) = {
             let mut state = self.state();
             let is_owner = state.owner(now, ask.org, self.domain()) == OwnerChoice::Own;
@@ -143,9 +145,9 @@
             if !is_owner {
                 // The host that asks believes in another owner than this one does, and perhaps it alone: this one may go
                 // on from what the last owner had left, and has nothing to begin with.
-                share.first = 0.0;
+                share.initial = 0.0;
             }
-            let is_new = !state.ledger.has(ask.org);
+            let is_new = !state.ledger.has_account(ask.org);
             let window = state.bounds.limits.window;
             let is_settled = is_owner
                 && state.members.is_settled(now, window)
@@ -164,9 +166,9 @@
 
     fn ask_loans(&self, now: TimePoint, org: OrgKey, share: &LimitShare) {
         let lenders = self.other_owners(now, org);
-        let loans = self.state().ledger.ask_loans(now, org, share, lenders.len());
+        let loans = self.state().ledger.request_loans(now, org, share, lenders.len());
         for (owner, loan) in lenders.iter().zip(loans) {
-            self.send(owner.address, &GatewayDatagram::LoanAsk(loan));
+            self.send(owner.address, &GatewayDatagram::LoanRequest(loan));
         }
     }
 
@@ -175,11 +177,11 @@
         &self,
         from: SocketAddr,
         host: IncarnationId,
-        ask: &LimitAsk,
+        ask: &LimitRequest,
     ) {
         let Some(answer) = self.grant(self.now(), host, ask) else { return };
         if ask.sequence != 0 {
-            self.send(from, &GatewayDatagram::LimitAnswer(answer));
+            self.send(from, &GatewayDatagram::LimitReply(answer));
         }
     }
 
@@ -199,7 +201,7 @@
     }
 
     /// Lends to the owner of another failure domain.
-    pub(super) fn receive_loan_request(&self, from: SocketAddr, ask: &LoanAsk) {
+    pub(super) fn receive_loan_request(&self, from: SocketAddr, ask: &LoanRequest) {
         let now = self.now();
         let loan = {
             let mut state = self.state();
@@ -216,7 +218,7 @@
         let now = self.now();
         let mut state = self.state();
         let Some(share) = state.domain_share(loan.org, self.domain()) else { return };
-        state.ledger.borrow(now, loan, &share);
+        state.ledger.accept_loan(now, loan, &share);
     }
 
     /// Forgets what this host granted for organisations, and of repeats, of which it was not the owner all the time.
@@ -224,24 +226,24 @@
         let (now, domain) = (self.now(), self.domain());
         let mut state = self.state();
         let mut ledger = std::mem::take(&mut state.ledger);
-        let since = ledger.term().looked_at();
-        ledger.look_after(now, |org| state.has_owned_share(now, org, domain, since));
+        let since = ledger.term().renewed_at();
+        ledger.check_ownership(now, |org| state.has_owned_share(now, org, domain, since));
         state.ledger = ledger;
         let mut pools = std::mem::take(&mut state.retry_pools);
-        let since = pools.term().looked_at();
-        pools.look_after(now, |service| state.has_owned_share(now, service, domain, since));
+        let since = pools.term().renewed_at();
+        pools.check_ownership(now, |service| state.has_owned_share(now, service, domain, since));
         state.retry_pools = pools;
     }
 
     fn tell_use(&self) {
         let now = self.now();
-        let untold = self.state().meter.untold(now);
+        let untold = self.state().meter.unsent(now);
         for ask in untold {
             let owner = self.state().owner(now, ask.org, self.domain());
             match owner {
                 OwnerChoice::Own => drop(self.grant(now, self.incarnation, &ask)),
                 OwnerChoice::Other(owner) => {
-                    self.send(owner.address, &GatewayDatagram::LimitAsk(self.incarnation, ask));
+                    self.send(owner.address, &GatewayDatagram::LimitRequest(self.incarnation, ask));
                 }
                 OwnerChoice::Unknown => {}
             }
@@ -251,9 +253,9 @@
 
 /// The line that tells what a new owner began with, and from where.
 fn log_account(
-    ask: &LimitAsk,
+    ask: &LimitRequest,
     share: &LimitShare,
-    answer: &LimitAnswer,
+    answer: &LimitReply,
     is_owner: bool,
     is_settled: bool,
 ) {
@@ -309,13 +311,13 @@
     /// cut off, and have the rest.
     fn domain_share(&self, org: OrgKey, domain: NameKey) -> Option<LimitShare> {
         let (seen, known) = self.count_domain_hosts(domain);
-        Some(self.whole_share(org)?.part(seen, known))
+        Some(self.whole_share(org)?.scaled(seen, known))
     }
 
     /// A failure domain's whole part of an organisation's limit.
     fn whole_share(&self, org: OrgKey) -> Option<LimitShare> {
         let limit = self.routes.organisations().organisation(org)?.limit?;
-        Some(LimitShare::of_domain(&limit, &self.bounds.limits))
+        Some(LimitShare::for_domain(&limit, &self.bounds.limits))
     }
 
     /// Hosts of a failure domain that are there, and all that this one ever heard of, itself included.
@@ -333,9 +335,9 @@
     /// A changed configuration may lower limits.
     pub(super) fn lower_limits(&mut self, now: TimePoint) {
         let (routes, bounds) = (Arc::clone(&self.routes), self.bounds.limits);
-        self.ledger.cut(now, |org| {
+        self.ledger.clamp_levels(now, |org| {
             let limit = routes.organisations().organisation(org)?.limit?;
-            Some(LimitShare::of_domain(&limit, &bounds))
+            Some(LimitShare::for_domain(&limit, &bounds))
         });
     }
 }
--- a/src/gateway/limit_gossip.rs
+++ b/src/gateway/limit_gossip.rs
@@ -3,7 +3,9 @@
 use super::gateway_host::GatewayHost;
 use super::peer_messages::GatewayDatagram;
 use crate::keys::ServerKey;
-use crate::server_limits::{AskPurpose, CallRank, LOG_TIME, LimitChange, LimitNews, ServerLimit};
+use crate::server_limits::{
+    CallRank, LOG_RETENTION, LimitChange, LimitUpdate, PermitPurpose, ServerLimit,
+};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -35,7 +37,7 @@
 impl GatewayHost {
     fn send_server_limits(&self) {
         let now = self.now();
-        let updates = self.state().sends.book.untold(now);
+        let updates = self.state().sends.limits.unsent(now);
         if updates.is_empty() {
             return;
         }
@@ -51,26 +53,26 @@
     fn report_sends(&self) {
         let now = self.now();
         let limited: Vec<ServerKey> = self.state().sends.limited(now);
-        let since = self.state().sends.desk.term().looked_at();
+        let since = self.state().sends.ledger.term().renewed_at();
         let owned: Vec<ServerKey> = limited
             .iter()
             .copied()
             .filter(|server| self.state().has_owned_sends(now, *server, since))
             .collect();
-        self.state().sends.desk.retain(now, |server| owned.contains(&server));
+        self.state().sends.ledger.retain(now, |server| owned.contains(&server));
         for server in limited {
-            if self.state().sends.log.recent(now, server, LOG_TIME) > 0 {
-                self.notify_owner(server, CallRank::default(), AskPurpose::Tell);
+            if self.state().sends.log.recent(now, server, LOG_RETENTION) > 0 {
+                self.notify_owner(server, CallRank::default(), PermitPurpose::Report);
             }
         }
     }
 
     /// Merges limits that another host sent.
-    pub(super) fn receive_server_limits(&self, updates: &[LimitNews]) {
+    pub(super) fn receive_server_limits(&self, updates: &[LimitUpdate]) {
         let now = self.now();
         let changes: Vec<LimitChange> = {
             let mut state = self.state();
-            updates.iter().filter_map(|update| state.sends.book.merge(now, update)).collect()
+            updates.iter().filter_map(|update| state.sends.limits.merge(now, update)).collect()
         };
         for change in changes {
             self.announce_limit_change(&change, "peer");
@@ -81,16 +83,16 @@
     /// trips instead of as many periods.
     pub(super) fn announce_limit_change(&self, change: &LimitChange, source: &str) {
         let now = self.now();
-        let LimitNews { server, version, limit } = change.now;
+        let LimitUpdate { server, version, limit } = change.current;
         let (id, sent) = {
             let state = self.state();
             let id = state.fleet.entry(server).map(|entry| entry.id.clone());
-            (id.unwrap_or_default(), state.sends.log.recent(now, server, LOG_TIME))
+            (id.unwrap_or_default(), state.sends.log.recent(now, server, LOG_RETENTION))
         };
         let text = |limit: Option<ServerLimit>| {
             limit.map_or_else(|| "-".to_owned(), |limit| limit.to_string())
         };
-        let (was, limit, seconds) = (text(change.was), text(limit), LOG_TIME.as_secs());
+        let (was, limit, seconds) = (text(change.previous), text(limit), LOG_RETENTION.as_secs());
         log::info!(
             "event=server_limit_changed server={id} life={:016x} limit={limit} was={was} \
              version={version} from={source} sent={sent} sent_within_s={seconds}",
--- a/src/gateway/peer_loop.rs
+++ b/src/gateway/peer_loop.rs
@@ -43,23 +43,25 @@
             Ok(GatewayDatagram::Notice(notice)) => host.hear_notice(notice),
             Ok(GatewayDatagram::AgeRequest(question)) => host.answer_age(address, question),
             Ok(GatewayDatagram::AgeReply(answer)) => host.hear_age(address, answer),
-            Ok(GatewayDatagram::LimitAsk(from, ask)) => {
+            Ok(GatewayDatagram::LimitRequest(from, ask)) => {
                 host.receive_limit_request(address, from, &ask)
             }
-            Ok(GatewayDatagram::LimitAnswer(answer)) => {
+            Ok(GatewayDatagram::LimitReply(answer)) => {
                 // Nobody waits for one that comes late; the next question tells what was used.
                 host.limit_waits.end(answer.sequence, answer);
             }
-            Ok(GatewayDatagram::LoanAsk(ask)) => host.receive_loan_request(address, &ask),
+            Ok(GatewayDatagram::LoanRequest(ask)) => host.receive_loan_request(address, &ask),
             Ok(GatewayDatagram::LimitLoan(loan)) => host.receive_loan(&loan),
             Ok(GatewayDatagram::Crashes(report)) => host.hear_crashes(&report),
             Ok(GatewayDatagram::ServerLimits(news)) => host.receive_server_limits(&news),
-            Ok(GatewayDatagram::SendAsk(from, ask)) => {
+            Ok(GatewayDatagram::PermitRequest(from, ask)) => {
                 host.receive_send_request(address, from, &ask)
             }
-            Ok(GatewayDatagram::SendReply(reply)) => host.send_waits.end(reply.sequence, reply),
-            Ok(GatewayDatagram::LimitAnswered(answered)) => host.receive_limit_answered(&answered),
-            Ok(GatewayDatagram::RetryAsk(ask)) => host.receive_retry_request(address, &ask),
+            Ok(GatewayDatagram::PermitReply(reply)) => host.send_waits.end(reply.sequence, reply),
+            Ok(GatewayDatagram::LimitObservation(answered)) => {
+                host.receive_limit_answered(&answered)
+            }
+            Ok(GatewayDatagram::RetryRequest(ask)) => host.receive_retry_request(address, &ask),
             Ok(GatewayDatagram::RetryReply(reply)) => host.retry_waits.end(reply.sequence, reply),
             Err(error) => {
                 log::warn!("event=datagram_refused peer={address} cause=\"{error}\"");
@@ -99,8 +101,8 @@
     let request = {
         let now = host.now();
         let state = host.state();
-        let (members, crashes) = (state.members.all_updates(), state.crashes.whole_report(now));
-        GatewayRequest::Sync { members, crashes, limits: state.sends.book.all() }
+        let (members, crashes) = (state.members.all_updates(), state.crashes.full_report(now));
+        GatewayRequest::Sync { members, crashes, limits: state.sends.limits.all() }
     };
     let reply = host.peers.call(address, &request, COMPARE_LIMIT).await;
     let Ok(GatewayReply::Members { members, crashes, limits }) = reply else {
@@ -167,8 +169,8 @@
                 let mut state = self.state();
                 let orders = state.members.merge_all(now, &members);
                 let (members, crashes) =
-                    (state.members.all_updates(), state.crashes.whole_report(now));
-                let limits = state.sends.book.all();
+                    (state.members.all_updates(), state.crashes.full_report(now));
+                let limits = state.sends.limits.all();
                 drop(state);
                 self.carry_out(orders);
                 GatewayReply::Members { members, crashes, limits }
--- a/src/gateway/peer_messages.rs
+++ b/src/gateway/peer_messages.rs
@@ -1,13 +1,13 @@
 use crate::fleet::{FleetUpdate, ServerStage};
 use crate::keys::{IncarnationId, ServerKey};
-use crate::limits::{LimitAnswer, LimitAsk, LimitLoan, LoanAsk};
+use crate::limits::{LimitLoan, LimitReply, LimitRequest, LoanRequest};
 use crate::membership::{MemberUpdate, ProbeMessage, ViewMark};
 use crate::organisations::{AgeReply, AgeRequest};
 use crate::placement::{ServerLoad, WorkSums};
 use crate::quarantine::CrashReport;
-use crate::retries::{RetryAsk, RetryReply};
+use crate::retries::{RetryReply, RetryRequest};
 use crate::routes::{RouteUpdate, ServiceKey, TableDigest};
-use crate::server_limits::{LimitAnswered, LimitNews, SendAsk, SendReply};
+use crate::server_limits::{LimitObservation, LimitUpdate, PermitReply, PermitRequest};
 use serde::{Deserialize, Serialize};
 
 /// A datagram between daemons on the platform.
@@ -24,25 +24,25 @@
     /// So old.
     AgeReply(AgeReply),
     /// The sender asks the owner of an organisation's part, or tells it what it used.
-    LimitAsk(IncarnationId, LimitAsk),
+    LimitRequest(IncarnationId, LimitRequest),
     /// The owner's answer.
-    LimitAnswer(LimitAnswer),
+    LimitReply(LimitReply),
     /// An owner asks that of another failure domain.
-    LoanAsk(LoanAsk),
+    LoanRequest(LoanRequest),
     /// Units lent to it.
     LimitLoan(LimitLoan),
     /// Servers that crashed, and under which requests.
     Crashes(CrashReport),
     /// Limits that backend servers named.
-    ServerLimits(Vec<LimitNews>),
+    ServerLimits(Vec<LimitUpdate>),
     /// The sender asks the owner of a server that has a limit.
-    SendAsk(IncarnationId, SendAsk),
+    PermitRequest(IncarnationId, PermitRequest),
     /// The owner's reply.
-    SendReply(SendReply),
+    PermitReply(PermitReply),
     /// How such a server answered a request of the sender.
-    LimitAnswered(LimitAnswered),
+    LimitObservation(LimitObservation),
     /// The sender asks the owner of its failure domain's pool of repeats.
-    RetryAsk(RetryAsk),
+    RetryRequest(RetryRequest),
     /// The owner's reply.
     RetryReply(RetryReply),
 }
@@ -55,15 +55,16 @@
             Self::Load(_) => ("loads_sent", "loads_sent_bytes"),
             Self::Notice(_) => ("notices_sent", "notices_sent_bytes"),
             Self::AgeRequest(_) | Self::AgeReply(_) => ("ages_sent", "ages_sent_bytes"),
-            Self::LimitAsk(..) | Self::LimitAnswer(_) | Self::LoanAsk(_) | Self::LimitLoan(_) => {
-                ("limits_sent", "limits_sent_bytes")
-            }
+            Self::LimitRequest(..)
+            | Self::LimitReply(_)
+            | Self::LoanRequest(_)
+            | Self::LimitLoan(_) => ("limits_sent", "limits_sent_bytes"),
             Self::Crashes(_) => ("crashes_sent", "crashes_sent_bytes"),
             Self::ServerLimits(_)
-            | Self::SendAsk(..)
-            | Self::SendReply(_)
-            | Self::LimitAnswered(_) => ("server_limits_sent", "server_limits_sent_bytes"),
-            Self::RetryAsk(_) | Self::RetryReply(_) => ("retries_sent", "retries_sent_bytes"),
+            | Self::PermitRequest(..)
+            | Self::PermitReply(_)
+            | Self::LimitObservation(_) => ("server_limits_sent", "server_limits_sent_bytes"),
+            Self::RetryRequest(_) | Self::RetryReply(_) => ("retries_sent", "retries_sent_bytes"),
         }
     }
 }
@@ -117,7 +118,7 @@
         /// Crashes.
         crashes: CrashReport,
         /// Limits of servers.
-        limits: Vec<LimitNews>,
+        limits: Vec<LimitUpdate>,
     },
     /// What is newer than this.
     View {
@@ -142,7 +143,7 @@
         /// Crashes.
         crashes: CrashReport,
         /// Limits of servers.
-        limits: Vec<LimitNews>,
+        limits: Vec<LimitUpdate>,
     },
     /// What is newer.
     View {
--- a/src/gateway/reply_waits.rs
+++ b/src/gateway/reply_waits.rs
@@ -58,7 +58,7 @@
             }
         }
         let now = self.now();
-        self.state().silent.note(now, owner.incarnation);
+        self.state().silent.record(now, owner.incarnation);
         None
     }
 }
--- a/src/gateway/retry_grants.rs
+++ b/src/gateway/retry_grants.rs
@@ -6,7 +6,7 @@
 use super::peer_messages::GatewayDatagram;
 use crate::keys::TimePoint;
 use crate::limits::{OwnerChoice, choose_owner};
-use crate::retries::{RetryAsk, RetryReply, RetryShare};
+use crate::retries::{RetryReply, RetryRequest, RetryShare};
 use crate::routes::ServiceKey;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -19,7 +19,7 @@
             return true;
         }
         let serial = self.serials.fetch_add(1, Ordering::Relaxed);
-        let ask = RetryAsk { sequence: serial as u32, service, count };
+        let ask = RetryRequest { sequence: serial as u32, service, count };
         let granted = self.ask_pool(&ask).await;
         let name = if granted { "repeats_pooled" } else { "repeats_denied" };
         self.metrics().add(name, count.into());
@@ -30,15 +30,15 @@
         let (now, hosts) = (self.now(), self.known_hosts());
         let mut state = self.state();
         let bounds = state.bounds.retries;
-        state.retries.entry(service).or_default().take(now, &bounds, hosts, count)
+        state.retries.entry(service).or_default().try_take(now, &bounds, hosts, count)
     }
 
-    async fn ask_pool(&self, ask: &RetryAsk) -> bool {
+    async fn ask_pool(&self, ask: &RetryRequest) -> bool {
         let owner = self.state().pool_owner(self.now(), ask.service);
         let reply = match owner {
             OwnerChoice::Own => Some(self.grant_repeats(ask)),
             OwnerChoice::Other(owner) => {
-                let question = GatewayDatagram::RetryAsk(*ask);
+                let question = GatewayDatagram::RetryRequest(*ask);
                 self.ask_twice(&self.retry_waits, ask.sequence, owner, &question).await
             }
             OwnerChoice::Unknown => None,
@@ -54,17 +54,17 @@
     }
 
     /// Answers another host of the failure domain.
-    pub(super) fn receive_retry_request(&self, from: SocketAddr, ask: &RetryAsk) {
+    pub(super) fn receive_retry_request(&self, from: SocketAddr, ask: &RetryRequest) {
         let reply = self.grant_repeats(ask);
         self.send(from, &GatewayDatagram::RetryReply(reply));
     }
 
-    fn grant_repeats(&self, ask: &RetryAsk) -> RetryReply {
+    fn grant_repeats(&self, ask: &RetryRequest) -> RetryReply {
         let now = self.now();
         let mut state = self.state();
         let bounds = state.bounds.retries;
         let (seen, known) = state.count_domain_hosts(self.domain());
-        let share = RetryShare::of_domain(&bounds, seen, known);
+        let share = RetryShare::for_domain(&bounds, seen, known);
         let is_settled = state.members.is_settled(now, bounds.window)
             && state.retry_pools.term().lasts_for(now, bounds.window);
         // One that only the asking host takes for the owner would grant beside the real one.
--- a/src/gateway/run_open.rs
+++ b/src/gateway/run_open.rs
@@ -10,7 +10,7 @@
 use super::run_start::{OpenFailure, RunRecord, run_at};
 use crate::fleet::{ServerEntry, ServerStage};
 use crate::platform::DecodePart;
-use crate::quarantine::CRASH_LIFE;
+use crate::quarantine::CRASH_RETENTION;
 use crate::routes::EngineSpec;
 use crate::streams::StreamEvent;
 use http::{HeaderMap, StatusCode};
@@ -20,7 +20,7 @@
 /// earlier finds none either.
 const NO_MEMORY_PAUSE: Duration = Duration::from_secs(4);
 /// Retry delay for a caller whose request crashes servers: as long as crashes are remembered.
-const HELD_BACK_PAUSE: Duration = CRASH_LIFE;
+const HELD_BACK_PAUSE: Duration = CRASH_RETENTION;
 /// Jitter of retry delays, as a fraction of them, so that callers do not all return at once.
 const PAUSE_JITTER: f64 = 0.3;
 /// Retry delay for a caller whose request is refused for another reason.
--- a/src/gateway/send_owner.rs
+++ b/src/gateway/send_owner.rs
@@ -6,7 +6,7 @@
 use crate::keys::{IncarnationId, ServerKey, TimePoint};
 use crate::limits::{OwnerChoice, choose_owner, has_owned};
 use crate::membership::MemberUpdate;
-use crate::server_limits::{AskPurpose, CallRank, SendAsk, SendDecision, SendReply};
+use crate::server_limits::{CallRank, PermitDecision, PermitPurpose, PermitReply, PermitRequest};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -24,22 +24,23 @@
         rank: CallRank,
     ) -> Option<TimePoint> {
         let asked_at = self.now();
-        let request = self.state().sends.ask(asked_at, server, rank, AskPurpose::Send);
+        let request =
+            self.state().sends.permit_request(asked_at, server, rank, PermitPurpose::Send);
         let reply = self.query_send_owner(&request).await;
         let now = self.now();
         let timely = reply.filter(|_| now.since(asked_at) < GRANT_LIFETIME);
-        let is_granted = self.state().sends.hear_reply(now, &request, timely.as_ref());
+        let is_granted = self.state().sends.apply_reply(now, &request, timely.as_ref());
         let wait = match reply.map(|reply| reply.decision) {
-            Some(SendDecision::Granted) => 0,
-            Some(SendDecision::Refused { wait_ms }) => i64::from(wait_ms),
+            Some(PermitDecision::Granted) => 0,
+            Some(PermitDecision::Refused { wait_ms }) => i64::from(wait_ms),
             None => -1,
         };
-        let limit = request.news.limit.map(|limit| limit.per_second()).unwrap_or_default();
+        let limit = request.update.limit.map(|limit| limit.per_second()).unwrap_or_default();
         log::info!(
             "event=send_asked request={id} life={:016x} limit={limit} version={} granted={is_granted} \
              wait_ms={wait}",
             server.0,
-            request.news.version
+            request.update.version
         );
         self.metrics().add(if is_granted { "sends_granted" } else { "sends_refused" }, 1);
         is_granted.then_some(now)
@@ -52,31 +53,35 @@
         rank: CallRank,
     ) -> Option<Duration> {
         let now = self.now();
-        let request = self.state().sends.ask(now, server, rank, AskPurpose::ComeBack);
+        let request =
+            self.state().sends.permit_request(now, server, rank, PermitPurpose::RetryAfter);
         match self.query_send_owner(&request).await?.decision {
-            SendDecision::Granted => Some(Duration::ZERO),
-            SendDecision::Refused { wait_ms } => Some(Duration::from_millis(wait_ms.into())),
+            PermitDecision::Granted => Some(Duration::ZERO),
+            PermitDecision::Refused { wait_ms } => Some(Duration::from_millis(wait_ms.into())),
         }
     }
 
     /// Reports to a server's owner what this host sent there.
-    pub(super) fn notify_owner(&self, server: ServerKey, rank: CallRank, purpose: AskPurpose) {
+    pub(super) fn notify_owner(&self, server: ServerKey, rank: CallRank, purpose: PermitPurpose) {
         let now = self.now();
-        let request = self.state().sends.ask(now, server, rank, purpose);
+        let request = self.state().sends.permit_request(now, server, rank, purpose);
         match self.send_owner(server) {
             OwnerChoice::Own => drop(self.decide_send(self.incarnation, &request)),
             OwnerChoice::Other(owner) => {
-                self.send(owner.address, &GatewayDatagram::SendAsk(self.incarnation, request));
+                self.send(
+                    owner.address,
+                    &GatewayDatagram::PermitRequest(self.incarnation, request),
+                );
             }
             OwnerChoice::Unknown => {}
         }
     }
 
-    async fn query_send_owner(&self, request: &SendAsk) -> Option<SendReply> {
-        match self.send_owner(request.news.server) {
+    async fn query_send_owner(&self, request: &PermitRequest) -> Option<PermitReply> {
+        match self.send_owner(request.update.server) {
             OwnerChoice::Own => Some(self.decide_send(self.incarnation, request)),
             OwnerChoice::Other(owner) => {
-                let datagram = GatewayDatagram::SendAsk(self.incarnation, request.clone());
+                let datagram = GatewayDatagram::PermitRequest(self.incarnation, request.clone());
                 self.ask_twice(&self.send_waits, request.sequence, owner, &datagram).await
             }
             OwnerChoice::Unknown => None,
@@ -88,19 +93,19 @@
         &self,
         from: SocketAddr,
         host: IncarnationId,
-        request: &SendAsk,
+        request: &PermitRequest,
     ) {
         let reply = self.decide_send(host, request);
         if request.purpose.wants_reply() {
-            self.send(from, &GatewayDatagram::SendReply(reply));
+            self.send(from, &GatewayDatagram::PermitReply(reply));
         }
     }
 
-    fn decide_send(&self, from: IncarnationId, request: &SendAsk) -> SendReply {
+    fn decide_send(&self, from: IncarnationId, request: &PermitRequest) -> PermitReply {
         let now = self.now();
         let (reply, change) = {
             let mut state = self.state();
-            let is_owner = state.send_owner(now, request.news.server) == OwnerChoice::Own;
+            let is_owner = state.send_owner(now, request.update.server) == OwnerChoice::Own;
             state.sends.receive(now, from, request, is_owner)
         };
         if let Some(change) = change {
--- a/src/gateway/send_permit.rs
+++ b/src/gateway/send_permit.rs
@@ -5,7 +5,7 @@
 use super::gateway_host::GatewayHost;
 use crate::fleet::{ServerEntry, ServerStage};
 use crate::keys::{ServerKey, TimePoint};
-use crate::server_limits::{AskPurpose, CallRank, ServerLimit};
+use crate::server_limits::{CallRank, PermitPurpose, ServerLimit};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -53,8 +53,8 @@
         }
         {
             let mut state = permit.host.state();
-            state.sends.log.take_back(permit.counted_at, permit.server);
-            state.sends.log.note(now, permit.server);
+            state.sends.log.undo(permit.counted_at, permit.server);
+            state.sends.log.record(now, permit.server);
         }
         permit.counted_at = now;
         Some(permit)
@@ -66,9 +66,9 @@
         if self.is_used {
             return;
         }
-        self.host.state().sends.log.take_back(self.counted_at, self.server);
+        self.host.state().sends.log.undo(self.counted_at, self.server);
         if self.is_granted {
-            self.host.notify_owner(self.server, self.rank, AskPurpose::GiveBack);
+            self.host.notify_owner(self.server, self.rank, PermitPurpose::Release);
         }
     }
 }
@@ -82,7 +82,7 @@
             let mut state = host.state();
             let is_limited = state.sends.limit(now, key).is_some();
             if !is_limited {
-                state.sends.log.note(now, key);
+                state.sends.log.record(now, key);
             }
             is_limited
         };
--- a/src/limits/limit_bucket.rs
+++ b/src/limits/limit_bucket.rs
@@ -50,7 +50,7 @@
     }
 
     /// Drops what exceeds the burst of a share that has become smaller.
-    pub fn cut(&mut self, now: TimePoint, share: &LimitShare) {
+    pub fn clamp(&mut self, now: TimePoint, share: &LimitShare) {
         self.level = self.level(now, share).min(share.burst);
     }
 
--- a/src/limits/limit_ledger.rs
+++ b/src/limits/limit_ledger.rs
@@ -1,4 +1,4 @@
-use super::{LimitAnswer, LimitAsk, LimitBucket, LimitLoan, LimitShare, LoanAsk, OwnerTerm};
+use super::{LimitBucket, LimitLoan, LimitReply, LimitRequest, LimitShare, LoanRequest, OwnerTerm};
 use crate::keys::{IncarnationId, OrgKey, TimePoint};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -23,10 +23,10 @@
     opened_at: TimePoint,
     /// What each host said that it used.
     used: HashMap<IncarnationId, i64>,
-    asked_at: TimePoint,
+    requested_at: TimePoint,
     /// Questions for loans that are not answered yet, and when they were asked.
     open_loans: Vec<(u32, TimePoint)>,
-    loans_asked_at: Option<TimePoint>,
+    loans_requested_at: Option<TimePoint>,
 }
 
 /// What this host grants as the owner of organisations' parts.
@@ -45,16 +45,16 @@
         &mut self,
         now: TimePoint,
         from: IncarnationId,
-        ask: &LimitAsk,
+        ask: &LimitRequest,
         share: &LimitShare,
         is_settled: bool,
-    ) -> LimitAnswer {
+    ) -> LimitReply {
         // The first question after a suspension may come before the host has looked.
         if self.term.is_broken(now) {
-            self.look_after(now, |_| false);
+            self.check_ownership(now, |_| false);
         }
         let account = self.account(now, ask, share, is_settled);
-        account.asked_at = now;
+        account.requested_at = now;
         account.learn(now, ask, share);
         let units = f64::from(ask.units);
         // A host not heard of before tells what it used of former owners: that is in the level seen there.
@@ -68,18 +68,18 @@
                 .unwrap_or(u32::MAX)
         });
         let level = account.bucket.level(now, share) as i32;
-        LimitAnswer { sequence: ask.sequence, org: ask.org, refused_ms, level }
+        LimitReply { sequence: ask.sequence, org: ask.org, refused_ms, level }
     }
 
     /// Whether this owner has an account of an organisation.
-    pub fn has(&self, org: OrgKey) -> bool {
+    pub fn has_account(&self, org: OrgKey) -> bool {
         self.accounts.contains_key(&org)
     }
 
     fn account(
         &mut self,
         now: TimePoint,
-        ask: &LimitAsk,
+        ask: &LimitRequest,
         share: &LimitShare,
         is_settled: bool,
     ) -> &mut OrgAccount {
@@ -87,46 +87,51 @@
             bucket: LimitBucket::new(now, first_level(ask, share, is_settled)),
             opened_at: now,
             used: HashMap::new(),
-            asked_at: now,
+            requested_at: now,
             open_loans: Vec::new(),
-            loans_asked_at: None,
+            loans_requested_at: None,
         })
     }
 
     /// Whether an organisation's bucket is low and no other domain was asked for a loan lately.
     pub fn wants_loan(&mut self, now: TimePoint, org: OrgKey, share: &LimitShare) -> bool {
         let Some(account) = self.accounts.get_mut(&org) else { return false };
-        let lately = account.loans_asked_at.is_some_and(|at| now.since(at) < LOAN_PAUSE);
+        let lately = account.loans_requested_at.is_some_and(|at| now.since(at) < LOAN_PAUSE);
         !lately && account.bucket.level(now, share) <= share.burst * SHORT_PART
     }
 
     /// Asks each of `lenders` other domains for a part of what is missing to the burst.
-    pub fn ask_loans(
+    pub fn request_loans(
         &mut self,
         now: TimePoint,
         org: OrgKey,
         share: &LimitShare,
         lenders: usize,
-    ) -> Vec<LoanAsk> {
+    ) -> Vec<LoanRequest> {
         let Some(account) = self.accounts.get_mut(&org) else { return Vec::new() };
         if lenders == 0 {
             return Vec::new();
         }
         let missing = share.burst - account.bucket.level(now, share);
-        account.loans_asked_at = Some(now);
+        account.loans_requested_at = Some(now);
         account.open_loans.retain(|(_, at)| now.since(*at) < LOAN_LIFE);
         let units = (missing / lenders as f64) as u32;
         let mut asks = Vec::new();
         for _ in 0..lenders {
             self.sequence = self.sequence.wrapping_add(1);
             account.open_loans.push((self.sequence, now));
-            asks.push(LoanAsk { sequence: self.sequence, org, units });
+            asks.push(LoanRequest { sequence: self.sequence, org, units });
         }
         asks
     }
 
     /// Lends to another domain's owner what this one can spare.
-    pub fn lend(&mut self, now: TimePoint, ask: &LoanAsk, share: &LimitShare) -> Option<LimitLoan> {
+    pub fn lend(
+        &mut self,
+        now: TimePoint,
+        ask: &LoanRequest,
+        share: &LimitShare,
+    ) -> Option<LimitLoan> {
         let account = self.accounts.get_mut(&ask.org)?;
         let spare = account.bucket.level(now, share) - share.burst * KEPT_PART;
         let units = spare.min(f64::from(ask.units)).max(0.0) as u32;
@@ -138,7 +143,7 @@
     }
 
     /// Takes over a loan that this owner asked for a moment ago, once.
-    pub fn borrow(&mut self, now: TimePoint, loan: &LimitLoan, share: &LimitShare) {
+    pub fn accept_loan(&mut self, now: TimePoint, loan: &LimitLoan, share: &LimitShare) {
         let Some(account) = self.accounts.get_mut(&loan.org) else { return };
         let open = &mut account.open_loans;
         let place = open.iter().position(|(sequence, _)| *sequence == loan.sequence);
@@ -149,10 +154,14 @@
     }
 
     /// Adapts to a changed configuration: what was saved up under a higher limit is dropped.
-    pub fn cut(&mut self, now: TimePoint, share_of: impl Fn(OrgKey) -> Option<LimitShare>) {
+    pub fn clamp_levels(
+        &mut self,
+        now: TimePoint,
+        share_of: impl Fn(OrgKey) -> Option<LimitShare>,
+    ) {
         self.accounts.retain(|org, account| {
             let Some(share) = share_of(*org) else { return false };
-            account.bucket.cut(now, &share);
+            account.bucket.clamp(now, &share);
             true
         });
     }
@@ -164,8 +173,8 @@
 
     /// Forgets accounts of which this host has not been the owner ever since the last look, and all of them if it was
     /// suspended. Called several times a second.
-    pub fn look_after(&mut self, now: TimePoint, has_owned: impl Fn(OrgKey) -> bool) {
-        let is_unbroken = self.term.look(now);
+    pub fn check_ownership(&mut self, now: TimePoint, has_owned: impl Fn(OrgKey) -> bool) {
+        let is_unbroken = self.term.renew(now);
         self.retain(|org| is_unbroken && has_owned(org));
     }
 
@@ -177,14 +186,14 @@
 
     /// Forgets accounts that nobody asks for.
     pub fn expire(&mut self, now: TimePoint) {
-        self.accounts.retain(|_, account| now.since(account.asked_at) < ACCOUNT_LIFE);
+        self.accounts.retain(|_, account| now.since(account.requested_at) < ACCOUNT_LIFE);
     }
 }
 
 impl OrgAccount {
     /// While the account is young, a host may know better what the last owner had left than the first one
     /// that asked.
-    fn learn(&mut self, now: TimePoint, ask: &LimitAsk, share: &LimitShare) {
+    fn learn(&mut self, now: TimePoint, ask: &LimitRequest, share: &LimitShare) {
         let Some(level) = ask.seen_level else { return };
         let excess = self.bucket.level(now, share) - f64::from(level);
         if now.since(self.opened_at) < LEARNING_TIME && excess > 0.0 {
@@ -196,7 +205,7 @@
 /// What a new owner begins with: what its predecessor had left, as the asking host saw it a moment ago. If
 /// nobody saw any, nobody asked one if hosts have not come or gone for long, and otherwise somebody may
 /// have, a moment ago.
-fn first_level(ask: &LimitAsk, share: &LimitShare, is_settled: bool) -> f64 {
-    let unseen = if is_settled { share.burst } else { share.first };
+fn first_level(ask: &LimitRequest, share: &LimitShare, is_settled: bool) -> f64 {
+    let unseen = if is_settled { share.burst } else { share.initial };
     ask.seen_level.map_or(unseen, |level| f64::from(level).min(share.burst))
 }
--- a/src/limits/limit_messages.rs
+++ b/src/limits/limit_messages.rs
@@ -3,7 +3,7 @@
 
 /// A host asks an organisation's owner in its failure domain for units, and tells what it used.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct LimitAsk {
+pub struct LimitRequest {
     /// Pairs the answer with it; zero if none is waited for.
     pub sequence: u32,
     /// The organisation.
@@ -20,7 +20,7 @@
 
 /// The owner's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct LimitAnswer {
+pub struct LimitReply {
     /// Sequence of what it answers.
     pub sequence: u32,
     /// The organisation.
@@ -33,7 +33,7 @@
 
 /// An owner asks the owner of another failure domain for units.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct LoanAsk {
+pub struct LoanRequest {
     /// Pairs the loan with it.
     pub sequence: u32,
     /// The organisation.
--- a/src/limits/limit_meter.rs
+++ b/src/limits/limit_meter.rs
@@ -1,4 +1,4 @@
-use super::{LimitAnswer, LimitAsk, LimitBucket, LimitShare};
+use super::{LimitBucket, LimitReply, LimitRequest, LimitShare};
 use crate::keys::{OrgKey, TimePoint};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -17,12 +17,12 @@
     /// Units used since this host started.
     used: i64,
     /// What the owner was last told of that.
-    told: i64,
-    told_at: TimePoint,
+    sent: i64,
+    sent_at: TimePoint,
     /// What the owner had left, and when it said so.
-    seen: Option<(i32, TimePoint)>,
+    last_level: Option<(i32, TimePoint)>,
     /// What may be used while no owner answers.
-    alone: LimitBucket,
+    fallback: LimitBucket,
 }
 
 /// What this host uses on account of organisations.
@@ -34,7 +34,7 @@
 
 impl LimitMeter {
     /// The question for `units`, which count as used until the owner refuses them.
-    pub fn ask(&mut self, now: TimePoint, org: OrgKey, units: u32) -> LimitAsk {
+    pub fn request_units(&mut self, now: TimePoint, org: OrgKey, units: u32) -> LimitRequest {
         self.sequence = self.sequence.wrapping_add(1).max(1);
         let sequence = self.sequence;
         let account = self.account(now, org);
@@ -43,12 +43,12 @@
     }
 
     /// The owner answered a question for `units`.
-    pub fn hear(&mut self, now: TimePoint, answer: &LimitAnswer, units: u32) {
+    pub fn apply_reply(&mut self, now: TimePoint, answer: &LimitReply, units: u32) {
         let account = self.account(now, answer.org);
-        account.seen = Some((answer.level, now));
+        account.last_level = Some((answer.level, now));
         if answer.refused_ms.is_some() {
             account.used -= i64::from(units);
-            account.told = account.used;
+            account.sent = account.used;
         }
     }
 
@@ -58,7 +58,7 @@
     /// One request is more than a host's part of several seconds. It goes in advance only if the owner had
     /// plenty left a moment ago: of a third of the hosts cut off, each let in one request of an organisation
     /// at its limit.
-    pub fn use_alone(
+    pub fn use_without_owner(
         &mut self,
         now: TimePoint,
         org: OrgKey,
@@ -70,8 +70,8 @@
         let had_plenty = account
             .level_within(now, PLENTY_LIFE)
             .is_some_and(|level| f64::from(level) >= share.burst * PLENTY_PART);
-        let own = share.of_host(hosts);
-        let allowed = had_plenty && account.alone.try_take(now, &own, f64::from(units));
+        let own = share.for_host(hosts);
+        let allowed = had_plenty && account.fallback.try_take(now, &own, f64::from(units));
         if !allowed {
             account.used -= i64::from(units);
         }
@@ -79,14 +79,14 @@
     }
 
     /// Units that were granted and not used, since their request did not run.
-    pub fn give_back(&mut self, now: TimePoint, org: OrgKey, units: u32) {
+    pub fn release(&mut self, now: TimePoint, org: OrgKey, units: u32) {
         self.account(now, org).used -= i64::from(units);
     }
 
     /// Messages about use that owners do not know of yet.
-    pub fn untold(&mut self, now: TimePoint) -> Vec<LimitAsk> {
+    pub fn unsent(&mut self, now: TimePoint) -> Vec<LimitRequest> {
         let due = |account: &OrgUse| {
-            account.used != account.told && now.since(account.told_at) >= TELL_PERIOD
+            account.used != account.sent && now.since(account.sent_at) >= TELL_PERIOD
         };
         let accounts = self.uses.iter_mut().filter(|(_, account)| due(account));
         accounts.map(|(org, account)| account.message(now, *org, 0, 0)).collect()
@@ -95,10 +95,10 @@
     fn account(&mut self, now: TimePoint, org: OrgKey) -> &mut OrgUse {
         self.uses.entry(org).or_insert_with(|| OrgUse {
             used: 0,
-            told: 0,
-            told_at: now,
-            seen: None,
-            alone: LimitBucket::new(now, 0.0),
+            sent: 0,
+            sent_at: now,
+            last_level: None,
+            fallback: LimitBucket::new(now, 0.0),
         })
     }
 }
@@ -106,13 +106,13 @@
 impl OrgUse {
     /// What the owner had left when this host heard of it no longer than `life` ago.
     fn level_within(&self, now: TimePoint, life: Duration) -> Option<i32> {
-        self.seen.filter(|(_, at)| now.since(*at) < life).map(|(level, _)| level)
+        self.last_level.filter(|(_, at)| now.since(*at) < life).map(|(level, _)| level)
     }
 
-    fn message(&mut self, now: TimePoint, org: OrgKey, sequence: u32, units: u32) -> LimitAsk {
-        self.told = self.used;
-        self.told_at = now;
+    fn message(&mut self, now: TimePoint, org: OrgKey, sequence: u32, units: u32) -> LimitRequest {
+        self.sent = self.used;
+        self.sent_at = now;
         let seen_level = self.level_within(now, SEEN_LIFE);
-        LimitAsk { sequence, org, used: self.used, units, seen_level }
+        LimitRequest { sequence, org, used: self.used, units, seen_level }
     }
 }
--- a/src/limits/limit_share.rs
+++ b/src/limits/limit_share.rs
@@ -32,7 +32,7 @@
     /// Most units that are saved up.
     pub burst: f64,
     /// Units that an owner begins with if nobody tells it what its predecessor had left.
-    pub first: f64,
+    pub initial: f64,
 }
 
 impl LimitShare {
@@ -40,7 +40,7 @@
     ///
     /// What owners begin with follows from the tolerance: after a loss of all hosts, the new owners know
     /// nothing of the window before.
-    pub fn of_domain(limit: &OrgLimit, bounds: &LimitBounds) -> Self {
+    pub fn for_domain(limit: &OrgLimit, bounds: &LimitBounds) -> Self {
         let domains = bounds.domains.max(1) as f64;
         let in_window = limit.rate.mul_add(bounds.window.as_secs_f64(), limit.burst);
         let tolerance = bounds.over.mul_add(in_window, bounds.slack);
@@ -49,19 +49,19 @@
         Self {
             rate: limit.rate * over / domains,
             burst,
-            first: burst.min(tolerance * FIRST_PART / domains),
+            initial: burst.min(tolerance * FIRST_PART / domains),
         }
     }
 
     /// The part of it that `seen` of `known` hosts have.
-    pub fn part(self, seen: usize, known: usize) -> Self {
+    pub fn scaled(self, seen: usize, known: usize) -> Self {
         let part = seen as f64 / known.max(1) as f64;
-        Self { rate: self.rate * part, burst: self.burst * part, first: self.first * part }
+        Self { rate: self.rate * part, burst: self.burst * part, initial: self.initial * part }
     }
 
     /// What one of `hosts` may use that reaches no owner: nothing is saved up, but a request may go below
     /// zero, since one of them is more than a host's part of a second.
-    pub fn of_host(self, hosts: usize) -> Self {
-        Self { rate: self.rate / hosts.max(LEAST_HOSTS) as f64, burst: 0.0, first: 0.0 }
+    pub fn for_host(self, hosts: usize) -> Self {
+        Self { rate: self.rate / hosts.max(LEAST_HOSTS) as f64, burst: 0.0, initial: 0.0 }
     }
 }
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -17,7 +17,7 @@
 
 pub use limit_bucket::LimitBucket;
 pub use limit_ledger::LimitLedger;
-pub use limit_messages::{LimitAnswer, LimitAsk, LimitLoan, LoanAsk};
+pub use limit_messages::{LimitLoan, LimitReply, LimitRequest, LoanRequest};
 pub use limit_meter::LimitMeter;
 pub use limit_share::{LimitBounds, LimitShare};
 pub use owner_choice::{OwnerChoice, SilentOwners, choose_owner, has_owned};
--- a/src/limits/owner_choice.rs
+++ b/src/limits/owner_choice.rs
@@ -28,7 +28,7 @@
 
 impl SilentOwners {
     /// An owner did not answer.
-    pub fn note(&mut self, now: TimePoint, owner: IncarnationId) {
+    pub fn record(&mut self, now: TimePoint, owner: IncarnationId) {
         self.until.insert(owner, now + SILENCE_LIFE);
     }
 
--- a/src/limits/owner_term.rs
+++ b/src/limits/owner_term.rs
@@ -11,34 +11,34 @@
 /// again, has no part in what the other one granted meanwhile.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OwnerTerm {
-    looked_at: Option<TimePoint>,
-    began_at: TimePoint,
+    renewed_at: Option<TimePoint>,
+    started_at: TimePoint,
 }
 
 impl OwnerTerm {
     /// The host looks after what it owns; false if there was a break before.
-    pub fn look(&mut self, now: TimePoint) -> bool {
+    pub fn renew(&mut self, now: TimePoint) -> bool {
         let is_unbroken = !self.is_broken(now);
         if !is_unbroken {
-            self.began_at = now;
+            self.started_at = now;
         }
-        self.looked_at = Some(now);
+        self.renewed_at = Some(now);
         is_unbroken
     }
 
     /// When the host last looked; at its start if it has not.
-    pub fn looked_at(&self) -> TimePoint {
-        self.looked_at.unwrap_or_default()
+    pub fn renewed_at(&self) -> TimePoint {
+        self.renewed_at.unwrap_or_default()
     }
 
     /// Whether the host should have looked meanwhile: what it saved up counts no more.
     pub fn is_broken(&self, now: TimePoint) -> bool {
-        self.looked_at.is_some_and(|at| now.since(at) > LONGEST_BREAK)
+        self.renewed_at.is_some_and(|at| now.since(at) > LONGEST_BREAK)
     }
 
     /// Whether there was no break for `time`, or none at all.
     pub fn lasts_for(&self, now: TimePoint, time: Duration) -> bool {
-        let is_first = self.began_at == TimePoint::default();
-        !self.is_broken(now) && (is_first || now.since(self.began_at) >= time)
+        let is_first = self.started_at == TimePoint::default();
+        !self.is_broken(now) && (is_first || now.since(self.started_at) >= time)
     }
 }
--- a/src/platform/crash_wire.rs
+++ b/src/platform/crash_wire.rs
@@ -2,7 +2,7 @@
 
 use crate::Result;
 use crate::keys::{NameKey, RequestKey};
-use crate::quarantine::{BrokenRequest, CrashNews};
+use crate::quarantine::{CrashUpdate, InterruptedRequest};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -34,21 +34,21 @@
 ///
 /// # Errors
 /// If a field is missing or of another type.
-pub fn decode_crashes(spec: &Value, now: SystemTime) -> Result<Vec<CrashNews>> {
+pub fn decode_crashes(spec: &Value, now: SystemTime) -> Result<Vec<CrashUpdate>> {
     let wire = WireCrashes::deserialize(spec)?;
     let now = unix_millis(now);
     wire.crashes.iter().map(|crash| decode_crash(crash, now)).collect()
 }
 
-fn decode_crash(wire: &WireCrash, now: u64) -> Result<CrashNews> {
+fn decode_crash(wire: &WireCrash, now: u64) -> Result<CrashUpdate> {
     let times = wire.ran_ms.iter().copied().chain(std::iter::repeat(0));
-    let requests: Result<Vec<BrokenRequest>> = wire
+    let requests: Result<Vec<InterruptedRequest>> = wire
         .requests
         .iter()
         .zip(times)
-        .map(|(key, ran_ms)| Ok(BrokenRequest { request: RequestKey(read_key(key)?), ran_ms }))
+        .map(|(key, ran_ms)| Ok(InterruptedRequest { request: RequestKey(read_key(key)?), ran_ms }))
         .collect();
-    Ok(CrashNews {
+    Ok(CrashUpdate {
         server: NameKey(read_key(&wire.server)?),
         age_ms: age(now, wire.at_ms),
         idle_ms: age(now, wire.idle_since_ms),
@@ -57,7 +57,7 @@
 }
 
 /// Encodes crashes at the time of day `now`.
-pub fn encode_crashes(crashes: &[CrashNews], now: SystemTime) -> Value {
+pub fn encode_crashes(crashes: &[CrashUpdate], now: SystemTime) -> Value {
     let now = unix_millis(now);
     let wire: Vec<WireCrash> = crashes
         .iter()
--- a/src/quarantine/crash_exchange.rs
+++ b/src/quarantine/crash_exchange.rs
@@ -1,8 +1,8 @@
 //! What books of crashes hand over to each other, and to the store.
 
-use super::crash_book::{CRASH_LIFE, CrashBook, RETURN_PERIOD};
-use super::crash_record::{AddedRun, BrokenRun};
-use super::{BrokenRequest, CrashNews, CrashReport};
+use super::crash_record::{AddedRun, InterruptedRun};
+use super::crash_tracker::{CRASH_RETENTION, CrashTracker, RETURN_PERIOD};
+use super::{CrashReport, CrashUpdate, InterruptedRequest};
 use crate::keys::{ServerKey, TimePoint};
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -16,28 +16,28 @@
 /// Pause between these repeats.
 const REPEAT_PERIOD: Duration = Duration::from_secs(1);
 
-impl CrashBook {
+impl CrashTracker {
     /// Takes over what another host told; what is new is told on.
     pub fn merge(&mut self, now: TimePoint, report: &CrashReport) {
-        for news in &report.acquittals {
+        for news in &report.clearances {
             let at = now - Duration::from_millis(news.age_ms.into());
-            if now.since(at) < CRASH_LIFE {
-                self.acquit(at, news.request);
+            if now.since(at) < CRASH_RETENTION {
+                self.clear(at, news.request);
             }
         }
         for news in &report.crashes {
             if self.merge_crash(now, news) {
-                self.tell(news.server);
+                self.schedule_sends(news.server);
             }
         }
         self.trim();
     }
 
     /// Takes over the store's copy; true if it lacks something that this book has.
-    pub fn merge_saved(&mut self, now: TimePoint, saved: &[CrashNews]) -> bool {
+    pub fn merge_saved(&mut self, now: TimePoint, saved: &[CrashUpdate]) -> bool {
         for news in saved {
             if self.merge_crash(now, news) {
-                self.tell(news.server);
+                self.schedule_sends(news.server);
             }
             if let Some(record) = self.crashes.get_mut(&news.server) {
                 record.is_saved = record.is_in(news);
@@ -53,19 +53,19 @@
     }
 
     /// All that is handed over at once.
-    pub fn whole_report(&self, now: TimePoint) -> CrashReport {
+    pub fn full_report(&self, now: TimePoint) -> CrashReport {
         let mut newest: Vec<_> =
             self.crashes.iter().filter(|(_, record)| !record.requests.is_empty()).collect();
         newest.sort_by_key(|(server, record)| (Reverse(record.idle_since), **server));
         newest.truncate(MOST_HANDED_OVER);
         CrashReport {
-            crashes: newest.into_iter().map(|(key, record)| record.news(now, *key)).collect(),
-            acquittals: self.acquittals.all(now),
+            crashes: newest.into_iter().map(|(key, record)| record.update(now, *key)).collect(),
+            clearances: self.clearances.all(now),
         }
     }
 
     /// The store has a copy of `written`; what did not fit into it stays out.
-    pub fn note_saved(&mut self, written: &[CrashNews]) {
+    pub fn record_saved(&mut self, written: &[CrashUpdate]) {
         let fits_all = written.len() < MOST_HANDED_OVER;
         for (server, record) in &mut self.crashes {
             let copy = written.iter().find(|news| news.server == *server);
@@ -75,13 +75,13 @@
     }
 
     /// What is to be told next; bounded, whatever there is.
-    pub fn untold(&mut self, now: TimePoint) -> CrashReport {
-        self.note_heard(now);
-        self.repeat(now);
+    pub fn unsent(&mut self, now: TimePoint) -> CrashReport {
+        self.record_received(now);
+        self.schedule_resends(now);
         let mut keys_left = KEYS_PER_MESSAGE;
         let mut due: Vec<ServerKey> =
-            self.crashes.iter().filter(|(_, r)| r.tells_left > 0).map(|(key, _)| *key).collect();
-        due.sort_by_key(|key| (Reverse(self.crashes[key].tells_left), *key));
+            self.crashes.iter().filter(|(_, r)| r.sends_left > 0).map(|(key, _)| *key).collect();
+        due.sort_by_key(|key| (Reverse(self.crashes[key].sends_left), *key));
         let mut crashes = Vec::new();
         for server in due {
             let Some(record) = self.crashes.get_mut(&server) else { continue };
@@ -90,22 +90,22 @@
                 break;
             }
             keys_left -= size;
-            record.tells_left -= 1;
-            crashes.push(record.news(now, server));
+            record.sends_left -= 1;
+            crashes.push(record.update(now, server));
         }
-        CrashReport { crashes, acquittals: self.acquittals.untold(now, keys_left) }
+        CrashReport { crashes, clearances: self.clearances.unsent(now, keys_left) }
     }
 
-    fn merge_crash(&mut self, now: TimePoint, news: &CrashNews) -> bool {
+    fn merge_crash(&mut self, now: TimePoint, news: &CrashUpdate) -> bool {
         let at = now - Duration::from_millis(news.age_ms.into());
         let idle_since = now - Duration::from_millis(news.idle_ms.into());
-        if now.since(idle_since) >= CRASH_LIFE {
+        if now.since(idle_since) >= CRASH_RETENTION {
             return false;
         }
         let mut is_new = false;
-        for BrokenRequest { request, ran_ms } in &news.requests {
+        for InterruptedRequest { request, ran_ms } in &news.requests {
             let began_at = at - Duration::from_millis((*ran_ms).into());
-            let run = BrokenRun { request: *request, began_at };
+            let run = InterruptedRun { request: *request, started_at: began_at };
             is_new |= self.add(now, at, idle_since, news.server, run) != AddedRun::Known;
         }
         if let Some(record) = self.crashes.get_mut(&news.server) {
@@ -116,15 +116,15 @@
         is_new
     }
 
-    fn repeat(&mut self, now: TimePoint) {
-        if now.since(self.repeated_at) < REPEAT_PERIOD {
+    fn schedule_resends(&mut self, now: TimePoint) {
+        if now.since(self.resent_at) < REPEAT_PERIOD {
             return;
         }
-        self.repeated_at = now;
+        self.resent_at = now;
         for record in self.crashes.values_mut() {
-            let is_recent = now.since(record.at) < REPEAT_LIFE;
+            let is_recent = now.since(record.crashed_at) < REPEAT_LIFE;
             if is_recent && !record.requests.is_empty() {
-                record.tells_left = record.tells_left.max(1);
+                record.sends_left = record.sends_left.max(1);
             }
         }
     }
--- a/src/quarantine/crash_record.rs
+++ b/src/quarantine/crash_record.rs
@@ -1,4 +1,4 @@
-use super::{BrokenRequest, CrashNews};
+use super::{CrashUpdate, InterruptedRequest};
 use crate::keys::{RequestKey, ServerKey, TimePoint};
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 
 /// A request that was at a crash.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct BrokenRun {
+pub(super) struct InterruptedRun {
     pub request: RequestKey,
     /// Since when it had been there, by the oldest of its runs.
-    pub began_at: TimePoint,
+    pub started_at: TimePoint,
 }
 
 /// What a record learned of a request.
@@ -35,17 +35,17 @@
 #[derive(Debug, Clone)]
 pub(super) struct CrashRecord {
     /// When it was.
-    pub at: TimePoint,
+    pub crashed_at: TimePoint,
     /// When this host learned of it.
     pub learned_at: TimePoint,
     /// When one of its requests last came again.
     pub idle_since: TimePoint,
     /// Requests that were there and are not acquitted.
-    pub requests: Vec<BrokenRun>,
+    pub requests: Vec<InterruptedRun>,
     /// How often it is yet to be told.
-    pub tells_left: u8,
+    pub sends_left: u8,
     /// When the last return was told.
-    pub told_idle: TimePoint,
+    pub return_sent_at: TimePoint,
     /// The store's copy has all of it.
     pub is_saved: bool,
 }
@@ -53,23 +53,23 @@
 impl CrashRecord {
     pub fn new(now: TimePoint, at: TimePoint, idle_since: TimePoint) -> Self {
         Self {
-            at,
+            crashed_at: at,
             learned_at: now,
             idle_since,
             requests: Vec::new(),
-            tells_left: 0,
-            told_idle: idle_since,
+            sends_left: 0,
+            return_sent_at: idle_since,
             is_saved: true,
         }
     }
 
     /// Adds a request, or learns that it had been there for longer.
-    pub fn add(&mut self, run: BrokenRun) -> AddedRun {
+    pub fn add(&mut self, run: InterruptedRun) -> AddedRun {
         let has_room = self.requests.len() < MOST_REQUESTS;
         match self.requests.iter_mut().find(|known| known.request == run.request) {
-            Some(known) if run.began_at < known.began_at => {
-                let is_told = known.began_at.since(run.began_at) > CLOCK_SLACK;
-                known.began_at = run.began_at;
+            Some(known) if run.started_at < known.started_at => {
+                let is_told = known.started_at.since(run.started_at) > CLOCK_SLACK;
+                known.started_at = run.started_at;
                 if is_told { AddedRun::Longer } else { AddedRun::Known }
             }
             None if has_room => {
@@ -86,25 +86,25 @@
     }
 
     /// A request that was there.
-    pub fn run(&self, request: RequestKey) -> Option<BrokenRun> {
+    pub fn run(&self, request: RequestKey) -> Option<InterruptedRun> {
         self.requests.iter().find(|run| run.request == request).copied()
     }
 
     /// Whether a copy of this record names all of its requests.
-    pub fn is_in(&self, copy: &CrashNews) -> bool {
+    pub fn is_in(&self, copy: &CrashUpdate) -> bool {
         let names = |request| copy.requests.iter().any(|broken| broken.request == request);
         self.requests.iter().all(|run| names(run.request))
     }
 
-    fn broken(&self, run: &BrokenRun) -> BrokenRequest {
-        let ran_ms = whole_millis(self.at.since(run.began_at));
-        BrokenRequest { request: run.request, ran_ms }
+    fn broken(&self, run: &InterruptedRun) -> InterruptedRequest {
+        let ran_ms = whole_millis(self.crashed_at.since(run.started_at));
+        InterruptedRequest { request: run.request, ran_ms }
     }
 
-    pub fn news(&self, now: TimePoint, server: ServerKey) -> CrashNews {
-        CrashNews {
+    pub fn update(&self, now: TimePoint, server: ServerKey) -> CrashUpdate {
+        CrashUpdate {
             server,
-            age_ms: whole_millis(now.since(self.at)),
+            age_ms: whole_millis(now.since(self.crashed_at)),
             idle_ms: whole_millis(now.since(self.idle_since)),
             requests: self.requests.iter().map(|run| self.broken(run)).collect(),
         }
--- a/src/quarantine/crash_verdict.rs
+++ b/src/quarantine/crash_verdict.rs
@@ -145,7 +145,8 @@
 
     /// Whether the last crash at which a request was came long after its third one.
     fn is_lasting(&self, request: RequestKey) -> bool {
-        let mut times: Vec<TimePoint> = self.records(request).map(|record| record.at).collect();
+        let mut times: Vec<TimePoint> =
+            self.records(request).map(|record| record.crashed_at).collect();
         times.sort_unstable();
         let third = times.get(CRASHES_TO_HOLD - 1);
         let last = times.last();
@@ -156,7 +157,7 @@
     fn is_spread(&self, request: RequestKey) -> bool {
         let runs = self.records(request).filter_map(|record| {
             let run = record.run(request)?;
-            Some((record.at, run.began_at))
+            Some((record.crashed_at, run.started_at))
         });
         let mut runs: Vec<(TimePoint, TimePoint)> = runs.collect();
         runs.sort_unstable();
--- a/src/quarantine/served_requests.rs
+++ b/src/quarantine/served_requests.rs
@@ -12,38 +12,38 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct ServedRequests {
     recent: HashSet<RequestKey>,
-    former: HashSet<RequestKey>,
-    began: TimePoint,
+    previous: HashSet<RequestKey>,
+    rotated_at: TimePoint,
 }
 
 impl ServedRequests {
     /// A request was answered whole.
-    pub fn note(&mut self, now: TimePoint, request: RequestKey) {
+    pub fn record(&mut self, now: TimePoint, request: RequestKey) {
         self.expire(now);
         if self.recent.len() >= MOST_SERVED {
-            self.turn(now);
+            self.rotate(now);
         }
         self.recent.insert(request);
     }
 
     /// Whether a request was answered whole lately: within [`SERVED_LIFE`], or half of it if many are served.
     pub fn contains(&self, request: RequestKey) -> bool {
-        self.recent.contains(&request) || self.former.contains(&request)
+        self.recent.contains(&request) || self.previous.contains(&request)
     }
 
     /// Forgets what was served long ago.
     pub fn expire(&mut self, now: TimePoint) {
-        let age = now.since(self.began);
+        let age = now.since(self.rotated_at);
         if age >= SERVED_LIFE {
             self.recent.clear();
         }
         if age >= SERVED_LIFE / 2 {
-            self.turn(now);
+            self.rotate(now);
         }
     }
 
-    fn turn(&mut self, now: TimePoint) {
-        self.former = std::mem::take(&mut self.recent);
-        self.began = now;
+    fn rotate(&mut self, now: TimePoint) {
+        self.previous = std::mem::take(&mut self.recent);
+        self.rotated_at = now;
     }
 }
--- a/src/retries/mod.rs
+++ b/src/retries/mod.rs
@@ -10,6 +10,6 @@
 mod retry_pools;
 mod retry_window;
 
-pub use retry_messages::{RetryAsk, RetryReply};
+pub use retry_messages::{RetryReply, RetryRequest};
 pub use retry_pools::{RetryPools, RetryShare};
 pub use retry_window::{RetryBounds, RetryWindow};
--- a/src/retries/retry_messages.rs
+++ b/src/retries/retry_messages.rs
@@ -3,7 +3,7 @@
 
 /// A host asks the owner of its failure domain's pool for repeats of a service's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RetryAsk {
+pub struct RetryRequest {
     /// Pairs the reply with it.
     pub sequence: u32,
     /// The service.
--- a/src/retries/retry_pools.rs
+++ b/src/retries/retry_pools.rs
@@ -1,5 +1,5 @@
 use super::retry_window::OWN_PART;
-use super::{RetryAsk, RetryBounds};
+use super::{RetryBounds, RetryRequest};
 use crate::keys::TimePoint;
 use crate::limits::{LimitBucket, LimitShare, OwnerTerm};
 use crate::routes::ServiceKey;
@@ -18,11 +18,11 @@
 impl RetryShare {
     /// The share of an owner that sees `seen` of the `known` hosts of its failure domain. The others may be cut off
     /// from it, and have the rest.
-    pub fn of_domain(bounds: &RetryBounds, seen: usize, known: usize) -> Self {
+    pub fn for_domain(bounds: &RetryBounds, seen: usize, known: usize) -> Self {
         let pool = bounds.slack * (1.0 - OWN_PART) / bounds.domains.max(1) as f64;
         let rate = pool * WINDOW_PART / bounds.window.as_secs_f64();
-        let whole = LimitShare { rate, burst: pool * SAVED_PART, first: 0.0 };
-        Self(whole.part(seen, known))
+        let whole = LimitShare { rate, burst: pool * SAVED_PART, initial: 0.0 };
+        Self(whole.scaled(seen, known))
     }
 }
 
@@ -41,19 +41,19 @@
     pub fn receive(
         &mut self,
         now: TimePoint,
-        ask: &RetryAsk,
+        ask: &RetryRequest,
         share: &RetryShare,
         is_settled: bool,
     ) -> bool {
         let RetryShare(share) = share;
         // The first question after a suspension may come before the host has looked.
         if self.term.is_broken(now) {
-            self.look_after(now, |_| false);
+            self.check_ownership(now, |_| false);
         }
         let first = if is_settled { share.burst } else { 0.0 };
         let bucket = self.buckets.entry(ask.service);
         let bucket = bucket.or_insert_with(|| LimitBucket::new(now, first));
-        bucket.cut(now, share);
+        bucket.clamp(now, share);
         let units = f64::from(ask.count);
         // Never on credit: of a domain whose hosts are all cut off from each other, each would make a whole repeat of its
         // part of one.
@@ -71,8 +71,8 @@
 
     /// Forgets pools of which this host has not been the owner ever since the last look, and all of them if it was
     /// suspended: another one granted from them, while they filled up here. Called several times a second.
-    pub fn look_after(&mut self, now: TimePoint, has_owned: impl Fn(ServiceKey) -> bool) {
-        let is_unbroken = self.term.look(now);
+    pub fn check_ownership(&mut self, now: TimePoint, has_owned: impl Fn(ServiceKey) -> bool) {
+        let is_unbroken = self.term.renew(now);
         self.buckets.retain(|service, _| is_unbroken && has_owned(*service));
     }
 }
--- a/src/retries/retry_window.rs
+++ b/src/retries/retry_window.rs
@@ -26,9 +26,9 @@
 
 #[derive(Debug, Clone, Copy)]
 struct WindowPart {
-    began: TimePoint,
+    started_at: TimePoint,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// Repeats that this host may make of one service's requests without asking anybody: a ratio of its own requests, and
@@ -40,15 +40,21 @@
 
 impl RetryWindow {
     /// A request came in.
-    pub fn note_request(&mut self, now: TimePoint, bounds: &RetryBounds) {
+    pub fn record_request(&mut self, now: TimePoint, bounds: &RetryBounds) {
         self.part(now, bounds).requests += 1;
     }
 
     /// Takes `count` repeats if the window has room for all of them; `hosts` share that part of the slack.
-    pub fn take(&mut self, now: TimePoint, bounds: &RetryBounds, hosts: usize, count: u32) -> bool {
+    pub fn try_take(
+        &mut self,
+        now: TimePoint,
+        bounds: &RetryBounds,
+        hosts: usize,
+        count: u32,
+    ) -> bool {
         let allowed = self.room(now, bounds, hosts) >= f64::from(count);
         if allowed {
-            self.part(now, bounds).repeats += count;
+            self.part(now, bounds).retries += count;
         }
         allowed
     }
@@ -56,7 +62,7 @@
     fn room(&mut self, now: TimePoint, bounds: &RetryBounds, hosts: usize) -> f64 {
         self.forget(now, bounds);
         let requests: u32 = self.parts.iter().map(|part| part.requests).sum();
-        let repeats: u32 = self.parts.iter().map(|part| part.repeats).sum();
+        let repeats: u32 = self.parts.iter().map(|part| part.retries).sum();
         let share = bounds.slack * OWN_PART / hosts.max(1) as f64;
         bounds.ratio * RATIO_MARGIN * f64::from(requests) + share - f64::from(repeats)
     }
@@ -64,9 +70,9 @@
     fn part(&mut self, now: TimePoint, bounds: &RetryBounds) -> &mut WindowPart {
         self.forget(now, bounds);
         let length = bounds.window / PARTS;
-        let current = self.parts.back().is_some_and(|part| now.since(part.began) < length);
+        let current = self.parts.back().is_some_and(|part| now.since(part.started_at) < length);
         if !current {
-            self.parts.push_back(WindowPart { began: now, requests: 0, repeats: 0 });
+            self.parts.push_back(WindowPart { started_at: now, requests: 0, retries: 0 });
         }
         let last = self.parts.len() - 1;
         &mut self.parts[last]
@@ -74,7 +80,7 @@
 
     fn forget(&mut self, now: TimePoint, bounds: &RetryBounds) {
         let kept = bounds.window + bounds.window / PARTS;
-        while self.parts.front().is_some_and(|part| now.since(part.began) > kept) {
+        while self.parts.front().is_some_and(|part| now.since(part.started_at) > kept) {
             self.parts.pop_front();
         }
     }
--- a/src/server_limits/closed_servers.rs
+++ b/src/server_limits/closed_servers.rs
@@ -18,7 +18,7 @@
 
 impl ClosedServers {
     /// A request was refused and may be asked for again after `wait`.
-    pub fn note(&mut self, now: TimePoint, server: ServerKey, rank: CallRank, wait: Duration) {
+    pub fn record(&mut self, now: TimePoint, server: ServerKey, rank: CallRank, wait: Duration) {
         self.closures.insert(server, ServerClosure { until: now + wait, rank });
     }
 
--- a/src/server_limits/cold_servers.rs
+++ b/src/server_limits/cold_servers.rs
@@ -14,29 +14,29 @@
 /// how long a server is cold, and the configuration says what it bears meanwhile.
 #[derive(Debug, Default)]
 pub struct ColdServers {
-    spells: HashMap<ServerKey, ColdSpell>,
+    periods: HashMap<ServerKey, ColdSpell>,
 }
 
 impl ColdServers {
     /// A server bears `limit` until it is warm.
-    pub fn note(&mut self, server: ServerKey, until: TimePoint, limit: ServerLimit) {
-        self.spells.insert(server, ColdSpell { until, limit });
+    pub fn record(&mut self, server: ServerKey, until: TimePoint, limit: ServerLimit) {
+        self.periods.insert(server, ColdSpell { until, limit });
     }
 
     /// What a server bears now, if it is cold.
     pub fn limit(&self, now: TimePoint, server: ServerKey) -> Option<ServerLimit> {
-        let spell = self.spells.get(&server)?;
+        let spell = self.periods.get(&server)?;
         (now < spell.until).then_some(spell.limit)
     }
 
     /// Servers that are cold now.
     pub fn servers(&self, now: TimePoint) -> impl Iterator<Item = ServerKey> {
-        let cold = self.spells.iter().filter(move |(_, spell)| now < spell.until);
+        let cold = self.periods.iter().filter(move |(_, spell)| now < spell.until);
         cold.map(|(server, _)| *server)
     }
 
     /// Forgets servers that are warm.
     pub fn expire(&mut self, now: TimePoint) {
-        self.spells.retain(|_, spell| now < spell.until);
+        self.periods.retain(|_, spell| now < spell.until);
     }
 }
--- a/src/server_limits/limit_book.rs
+++ b/src/server_limits/limit_table.rs
@@ -1,4 +1,4 @@
-use super::{LimitNews, ServerLimit};
+use super::{LimitUpdate, ServerLimit};
 use crate::keys::{ServerKey, TimePoint};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -26,58 +26,58 @@
 /// What is known of one server's limit.
 #[derive(Debug, Clone, Copy)]
 struct LimitRecord {
-    news: LimitNews,
+    update: LimitUpdate,
     adopted_at: TimePoint,
     /// Answers without it since the last one that named it.
-    absents: u32,
-    tells_left: u32,
+    absences: u32,
+    sends_left: u32,
 }
 
 /// How a limit changed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitChange {
     /// What was in force.
-    pub was: Option<ServerLimit>,
+    pub previous: Option<ServerLimit>,
     /// What is now.
-    pub now: LimitNews,
+    pub current: LimitUpdate,
 }
 
 /// The limits that backend servers named, as far as this host knows.
 #[derive(Debug, Default)]
-pub struct LimitBook {
+pub struct LimitTable {
     records: HashMap<ServerKey, LimitRecord>,
-    repeated_at: TimePoint,
+    resent_at: TimePoint,
 }
 
-impl LimitBook {
+impl LimitTable {
     /// The limit of a server that is in force.
     pub fn limit(&self, server: ServerKey) -> Option<ServerLimit> {
         let record = self.records.get(&server)?;
-        let limit = record.news.limit?;
-        Some(match record.absents {
+        let limit = record.update.limit?;
+        Some(match record.absences {
             0 => limit.at_least(LEAST_RATE),
             absents => limit.at_least(DOUBT_RATE).doubled(absents - 1),
         })
     }
 
     /// What is known of a server's limit.
-    pub fn news(&self, server: ServerKey) -> LimitNews {
-        let unknown = LimitNews { server, version: 0, limit: None };
-        self.records.get(&server).map_or(unknown, |record| record.news)
+    pub fn latest(&self, server: ServerKey) -> LimitUpdate {
+        let unknown = LimitUpdate { server, version: 0, limit: None };
+        self.records.get(&server).map_or(unknown, |record| record.update)
     }
 
     /// An answer to a request that was sent at `sent_at` named `limit`.
     ///
     /// Answers overtake each other. One that was asked for before the last change was learned may be older than
     /// that change, and is believed only if it names less.
-    pub fn hear(
+    pub fn apply_answer(
         &mut self,
         now: TimePoint,
         sent_at: TimePoint,
         server: ServerKey,
         limit: ServerLimit,
     ) -> Option<LimitChange> {
-        let known = self.news(server);
+        let known = self.latest(server);
         if known.limit == Some(limit) {
             return None;
         }
@@ -85,7 +85,7 @@
         if !names_less && !self.is_later(sent_at, server) {
             return None;
         }
-        let news = LimitNews { server, version: known.version + 1, limit: Some(limit) };
+        let news = LimitUpdate { server, version: known.version + 1, limit: Some(limit) };
         Some(self.adopt(now, news))
     }
 
@@ -97,7 +97,7 @@
     /// A server that has a limit answered later than what is known under `version`, and either named its limit or
     /// did not. Told to the one host that counts these answers, and takes the limit back when enough of them came
     /// one after the other.
-    pub fn note_answer(
+    pub fn record_answer(
         &mut self,
         now: TimePoint,
         server: ServerKey,
@@ -105,67 +105,67 @@
         is_named: bool,
     ) -> Option<LimitChange> {
         let record = self.records.get_mut(&server)?;
-        if record.news.version != version || record.news.limit.is_none() {
+        if record.update.version != version || record.update.limit.is_none() {
             return None;
         }
-        record.absents = if is_named { 0 } else { record.absents + 1 };
-        if record.absents < ABSENT_ANSWERS {
+        record.absences = if is_named { 0 } else { record.absences + 1 };
+        if record.absences < ABSENT_ANSWERS {
             return None;
         }
-        Some(self.adopt(now, LimitNews { server, version: version + 1, limit: None }))
+        Some(self.adopt(now, LimitUpdate { server, version: version + 1, limit: None }))
     }
 
     /// Takes over what another host told.
-    pub fn merge(&mut self, now: TimePoint, news: &LimitNews) -> Option<LimitChange> {
-        let known = self.news(news.server);
+    pub fn merge(&mut self, now: TimePoint, news: &LimitUpdate) -> Option<LimitChange> {
+        let known = self.latest(news.server);
         news.replaces(&known).then(|| self.adopt(now, *news))
     }
 
     /// What is to be told next; bounded, whatever there is.
-    pub fn untold(&mut self, now: TimePoint) -> Vec<LimitNews> {
-        self.repeat(now);
-        let due = self.records.values_mut().filter(|record| record.tells_left > 0);
+    pub fn unsent(&mut self, now: TimePoint) -> Vec<LimitUpdate> {
+        self.schedule_resends(now);
+        let due = self.records.values_mut().filter(|record| record.sends_left > 0);
         let told = due.take(MOST_TOLD).map(|record| {
-            record.tells_left -= 1;
-            record.news
+            record.sends_left -= 1;
+            record.update
         });
         told.collect()
     }
 
     /// All limits in force, for a host that comes or compares notes.
-    pub fn all(&self) -> Vec<LimitNews> {
-        let records = self.records.values().map(|record| record.news);
+    pub fn all(&self) -> Vec<LimitUpdate> {
+        let records = self.records.values().map(|record| record.update);
         records.filter(|news| news.limit.is_some()).take(MOST_TOLD).collect()
     }
 
     /// Servers that have a limit.
     pub fn limited(&self) -> impl Iterator<Item = ServerKey> {
         let records = self.records.values();
-        records.filter(|record| record.news.limit.is_some()).map(|record| record.news.server)
+        records.filter(|record| record.update.limit.is_some()).map(|record| record.update.server)
     }
 
     /// Forgets limits that were taken back long ago, and those of servers that are gone.
     pub fn expire(&mut self, now: TimePoint, is_there: impl Fn(ServerKey) -> bool) {
         self.records.retain(|server, record| {
-            let is_in_use = record.news.limit.is_some() && is_there(*server);
+            let is_in_use = record.update.limit.is_some() && is_there(*server);
             is_in_use || now.since(record.adopted_at) < FORGET_TIME
         });
     }
 
-    fn adopt(&mut self, now: TimePoint, news: LimitNews) -> LimitChange {
-        let was = self.news(news.server).limit;
-        let record = LimitRecord { news, adopted_at: now, absents: 0, tells_left: TELLS };
+    fn adopt(&mut self, now: TimePoint, news: LimitUpdate) -> LimitChange {
+        let was = self.latest(news.server).limit;
+        let record = LimitRecord { update: news, adopted_at: now, absences: 0, sends_left: TELLS };
         self.records.insert(news.server, record);
-        LimitChange { was, now: news }
+        LimitChange { previous: was, current: news }
     }
 
-    fn repeat(&mut self, now: TimePoint) {
-        if now.since(self.repeated_at) < REPEAT_PERIOD {
+    fn schedule_resends(&mut self, now: TimePoint) {
+        if now.since(self.resent_at) < REPEAT_PERIOD {
             return;
         }
-        self.repeated_at = now;
-        for record in self.records.values_mut().filter(|record| record.news.limit.is_some()) {
-            record.tells_left = record.tells_left.max(1);
+        self.resent_at = now;
+        for record in self.records.values_mut().filter(|record| record.update.limit.is_some()) {
+            record.sends_left = record.sends_left.max(1);
         }
     }
 }
--- a/src/server_limits/limit_news.rs
+++ b/src/server_limits/limit_update.rs
@@ -4,7 +4,7 @@
 
 /// What a host knows of one server's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct LimitNews {
+pub struct LimitUpdate {
     /// The life of the server.
     pub server: ServerKey,
     /// Rises with each change that a host learned from an answer.
@@ -13,7 +13,7 @@
     pub limit: Option<ServerLimit>,
 }
 
-impl LimitNews {
+impl LimitUpdate {
     /// Whether this is to be believed rather than `other`: the later change, and of two changes at the same
     /// time the one that sends less.
     pub fn replaces(&self, other: &Self) -> bool {
--- a/src/server_limits/send_account.rs
+++ b/src/server_limits/send_account.rs
@@ -1,7 +1,7 @@
 //! What an owner knows of one server: how full its bucket is, and what each host sent there.
 
-use super::send_desk::{COUNT_WINDOW, LEARN_TIME};
-use super::{AskPurpose, CallRank, SendAsk, SendDecision, SendTrail, ServerLimit};
+use super::send_ledger::{COUNT_WINDOW, LEARN_TIME};
+use super::{CallRank, PermitDecision, PermitPurpose, PermitRequest, SendHistory, ServerLimit};
 use crate::keys::{IncarnationId, TimePoint};
 use crate::limits::{LimitBucket, LimitShare};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -30,9 +30,9 @@
 #[derive(Debug, Default)]
 struct HostTrail {
     sequence: u32,
-    heard_at: TimePoint,
-    trail: SendTrail,
-    decisions: VecDeque<(u32, SendDecision)>,
+    received_at: TimePoint,
+    history: SendHistory,
+    decisions: VecDeque<(u32, PermitDecision)>,
 }
 
 /// One server's account.
@@ -41,11 +41,11 @@
     opened_at: TimePoint,
     bucket: LimitBucket,
     /// What requests of a rank have while more urgent ones want some, too.
-    parts: BTreeMap<CallRank, LimitBucket>,
+    rank_buckets: BTreeMap<CallRank, LimitBucket>,
     demand: VecDeque<(TimePoint, CallRank)>,
-    trails: HashMap<IncarnationId, HostTrail>,
+    histories: HashMap<IncarnationId, HostTrail>,
     /// To when the last refused caller was told to come back.
-    come_back: TimePoint,
+    last_return_at: TimePoint,
 }
 
 impl SendAccount {
@@ -53,10 +53,10 @@
         Self {
             opened_at: now,
             bucket: LimitBucket::new(now, 0.0),
-            parts: BTreeMap::new(),
+            rank_buckets: BTreeMap::new(),
             demand: VecDeque::new(),
-            trails: HashMap::new(),
-            come_back: now,
+            histories: HashMap::new(),
+            last_return_at: now,
         }
     }
 
@@ -65,28 +65,28 @@
         &mut self,
         now: TimePoint,
         from: IncarnationId,
-        ask: &SendAsk,
+        ask: &PermitRequest,
         limit: ServerLimit,
-    ) -> SendDecision {
+    ) -> PermitDecision {
         if let Some(decision) = self.decided(from, ask.sequence) {
             return decision;
         }
-        self.hear_trail(now, from, ask);
+        self.apply_history(now, from, ask);
         let share = share(limit);
-        self.bucket.cut(now, &share);
+        self.bucket.clamp(now, &share);
         let decision = match ask.purpose {
-            AskPurpose::Send => self.decide(now, ask.rank, limit),
-            AskPurpose::ComeBack => self.promise(now, ask.rank, limit),
-            AskPurpose::GiveBack => {
+            PermitPurpose::Send => self.decide(now, ask.rank, limit),
+            PermitPurpose::RetryAfter => self.schedule_return(now, ask.rank, limit),
+            PermitPurpose::Release => {
                 self.bucket.charge(now, &share, -1.0);
-                SendDecision::Granted
+                PermitDecision::Granted
             }
-            AskPurpose::Tell => SendDecision::Granted,
+            PermitPurpose::Report => PermitDecision::Granted,
         };
-        let host = self.trails.entry(from).or_default();
-        if ask.purpose == AskPurpose::Send && decision == SendDecision::Granted {
+        let host = self.histories.entry(from).or_default();
+        if ask.purpose == PermitPurpose::Send && decision == PermitDecision::Granted {
             // Until its host tells it.
-            host.trail.add_now();
+            host.history.add_now();
         }
         host.decisions.push_back((ask.sequence, decision));
         if host.decisions.len() > KEPT_DECISIONS {
@@ -97,45 +97,46 @@
 
     /// Forgets hosts whose sends are all old.
     pub fn expire(&mut self, now: TimePoint) {
-        self.trails.retain(|_, host| now.since(host.heard_at) < COUNT_WINDOW);
+        self.histories.retain(|_, host| now.since(host.received_at) < COUNT_WINDOW);
     }
 
     /// What was decided on a question whose reply was lost.
-    fn decided(&self, from: IncarnationId, sequence: u32) -> Option<SendDecision> {
-        let decisions = &self.trails.get(&from)?.decisions;
+    fn decided(&self, from: IncarnationId, sequence: u32) -> Option<PermitDecision> {
+        let decisions = &self.histories.get(&from)?.decisions;
         decisions.iter().find(|(of, _)| *of == sequence).map(|(_, decision)| *decision)
     }
 
     /// A trail is a sum and not a difference: one that is lost or late is made good by the next one.
-    fn hear_trail(&mut self, now: TimePoint, from: IncarnationId, ask: &SendAsk) {
-        let host = self.trails.entry(from).or_default();
+    fn apply_history(&mut self, now: TimePoint, from: IncarnationId, ask: &PermitRequest) {
+        let host = self.histories.entry(from).or_default();
         if ask.sequence >= host.sequence {
             host.sequence = ask.sequence;
-            host.heard_at = now;
-            host.trail.clone_from(&ask.trail);
+            host.received_at = now;
+            host.history.clone_from(&ask.history);
         }
     }
 
-    fn decide(&mut self, now: TimePoint, rank: CallRank, limit: ServerLimit) -> SendDecision {
-        self.note_demand(now, rank);
+    fn decide(&mut self, now: TimePoint, rank: CallRank, limit: ServerLimit) -> PermitDecision {
+        self.record_demand(now, rank);
         let wait = self.wait(now, rank, limit);
         if !wait.is_zero() {
             return refused(wait);
         }
         self.bucket.charge(now, &share(limit), 1.0);
-        if let Some(part) = self.part(now, rank, limit) {
-            self.parts.entry(rank).and_modify(|bucket| bucket.charge(now, &part, 1.0));
+        if let Some(part) = self.rank_share(now, rank, limit) {
+            self.rank_buckets.entry(rank).and_modify(|bucket| bucket.charge(now, &part, 1.0));
         }
-        SendDecision::Granted
+        PermitDecision::Granted
     }
 
     /// When the next request of a rank may go; zero if that is now.
     fn wait(&mut self, now: TimePoint, rank: CallRank, limit: ServerLimit) -> Duration {
         let learning = (self.opened_at + LEARN_TIME).since(now);
-        let counted = self.count_wait(now, limit);
+        let counted = self.window_wait(now, limit);
         let filled = self.bucket.wait_for(now, &share(limit), 1.0);
-        let parted = self.part(now, rank, limit).map_or(Duration::ZERO, |part| {
-            let bucket = self.parts.entry(rank).or_insert_with(|| LimitBucket::new(now, 0.0));
+        let parted = self.rank_share(now, rank, limit).map_or(Duration::ZERO, |part| {
+            let bucket =
+                self.rank_buckets.entry(rank).or_insert_with(|| LimitBucket::new(now, 0.0));
             bucket.wait_for(now, &part, 1.0)
         });
         learning.max(counted).max(filled).max(parted)
@@ -143,12 +144,12 @@
 
     /// Until when the window holds too many requests: what was sent before the limit was known, or was granted by
     /// another owner.
-    fn count_wait(&self, now: TimePoint, limit: ServerLimit) -> Duration {
+    fn window_wait(&self, now: TimePoint, limit: ServerLimit) -> Duration {
         let allowed = limit.per_second() * COUNT_WINDOW.as_secs_f64();
         let allowed = allowed.mul_add(COUNT_PART, COUNT_MORE);
-        let trails = self.trails.values();
+        let trails = self.histories.values();
         let mut sent: Vec<(Duration, u32)> = trails
-            .flat_map(|host| host.trail.within(now.since(host.heard_at), COUNT_WINDOW))
+            .flat_map(|host| host.history.within(now.since(host.received_at), COUNT_WINDOW))
             .collect();
         let count: u32 = sent.iter().map(|(_, count)| count).sum();
         let mut excess = f64::from(count) - allowed;
@@ -165,7 +166,7 @@
     }
 
     /// What a rank has for itself, if more urgent requests want a part of the limit.
-    fn part(&self, now: TimePoint, rank: CallRank, limit: ServerLimit) -> Option<LimitShare> {
+    fn rank_share(&self, now: TimePoint, rank: CallRank, limit: ServerLimit) -> Option<LimitShare> {
         let recent = self.demand.iter().filter(|(at, _)| now.since(*at) < DEMAND_TIME);
         let urgent = recent.filter(|(_, of)| *of < rank).count();
         if urgent == 0 {
@@ -173,10 +174,10 @@
         }
         let whole = limit.per_second();
         let rest = whole - urgent as f64 / DEMAND_TIME.as_secs_f64();
-        Some(LimitShare { rate: rest.max(whole * LEAST_PART), burst: 1.0, first: 0.0 })
+        Some(LimitShare { rate: rest.max(whole * LEAST_PART), burst: 1.0, initial: 0.0 })
     }
 
-    fn note_demand(&mut self, now: TimePoint, rank: CallRank) {
+    fn record_demand(&mut self, now: TimePoint, rank: CallRank) {
         self.demand.push_back((now, rank));
         if self.demand.len() > MOST_DEMAND {
             self.demand.pop_front();
@@ -185,21 +186,26 @@
 
     /// When a caller that is refused may come back: callers are told one after the other, at the pace at which
     /// the limit lets them in.
-    fn promise(&mut self, now: TimePoint, rank: CallRank, limit: ServerLimit) -> SendDecision {
+    fn schedule_return(
+        &mut self,
+        now: TimePoint,
+        rank: CallRank,
+        limit: ServerLimit,
+    ) -> PermitDecision {
         let next = now + self.wait(now, rank, limit);
         let pace = Duration::try_from_secs_f64(1.0 / limit.per_second()).unwrap_or(MOST_COME_BACK);
         let latest = now + MOST_COME_BACK;
-        let at = next.max(self.come_back + pace.min(MOST_COME_BACK)).min(latest);
-        self.come_back = at;
+        let at = next.max(self.last_return_at + pace.min(MOST_COME_BACK)).min(latest);
+        self.last_return_at = at;
         refused(at.since(now))
     }
 }
 
 fn share(limit: ServerLimit) -> LimitShare {
     let rate = limit.per_second();
-    LimitShare { rate, burst: rate.mul_add(BURST_TIME.as_secs_f64(), 1.0), first: 0.0 }
+    LimitShare { rate, burst: rate.mul_add(BURST_TIME.as_secs_f64(), 1.0), initial: 0.0 }
 }
 
-fn refused(wait: Duration) -> SendDecision {
-    SendDecision::Refused { wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX).max(1) }
+fn refused(wait: Duration) -> PermitDecision {
+    PermitDecision::Refused { wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX).max(1) }
 }
--- a/src/server_limits/send_control.rs
+++ b/src/server_limits/send_control.rs
@@ -1,6 +1,6 @@
 use super::{
-    AskPurpose, CallRank, ClosedServers, ColdServers, LimitAnswered, LimitBook, LimitChange,
-    LimitNews, SendAsk, SendDecision, SendDesk, SendLog, SendReply, ServerLimit,
+    CallRank, ClosedServers, ColdServers, LimitChange, LimitObservation, LimitTable, LimitUpdate,
+    PermitDecision, PermitPurpose, PermitReply, PermitRequest, SendLedger, SendLog, ServerLimit,
 };
 use crate::keys::{IncarnationId, ServerKey, TimePoint};
 use std::time::Duration;
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub struct SendControl {
     /// The limits that servers named.
-    pub book: LimitBook,
+    pub limits: LimitTable,
     /// What servers bear that have just started.
     pub cold: ColdServers,
     /// What this host sent.
@@ -22,41 +22,41 @@
     /// Servers whose owners refused.
     pub closed: ClosedServers,
     /// What this host grants as an owner.
-    pub desk: SendDesk,
+    pub ledger: SendLedger,
     sequence: u32,
 }
 
 impl SendControl {
     /// What a server takes from all hosts together now, if that is limited.
     pub fn limit(&self, now: TimePoint, server: ServerKey) -> Option<ServerLimit> {
-        match (self.book.limit(server), self.cold.limit(now, server)) {
-            (Some(named), Some(cold)) => Some(named.least(cold)),
+        match (self.limits.limit(server), self.cold.limit(now, server)) {
+            (Some(named), Some(cold)) => Some(named.min(cold)),
             (named, cold) => named.or(cold),
         }
     }
 
     /// Servers that have a limit.
     pub fn limited(&self, now: TimePoint) -> Vec<ServerKey> {
-        let named = self.book.limited();
-        let cold = self.cold.servers(now).filter(|server| self.book.limit(*server).is_none());
+        let named = self.limits.limited();
+        let cold = self.cold.servers(now).filter(|server| self.limits.limit(*server).is_none());
         named.chain(cold).collect()
     }
 
     /// The question of a request of `rank` for `server`, which tells all that was sent there lately.
-    pub fn ask(
+    pub fn permit_request(
         &mut self,
         now: TimePoint,
         server: ServerKey,
         rank: CallRank,
-        purpose: AskPurpose,
-    ) -> SendAsk {
+        purpose: PermitPurpose,
+    ) -> PermitRequest {
         self.sequence = self.sequence.wrapping_add(1).max(1);
-        SendAsk {
+        PermitRequest {
             sequence: self.sequence,
-            news: self.book.news(server),
+            update: self.limits.latest(server),
             purpose,
             rank,
-            trail: self.log.trail(now, server),
+            history: self.log.history(now, server),
         }
     }
 
@@ -65,60 +65,72 @@
         &mut self,
         now: TimePoint,
         from: IncarnationId,
-        ask: &SendAsk,
+        ask: &PermitRequest,
         is_owner: bool,
-    ) -> (SendReply, Option<LimitChange>) {
-        let change = self.book.merge(now, &ask.news);
-        let server = ask.news.server;
+    ) -> (PermitReply, Option<LimitChange>) {
+        let change = self.limits.merge(now, &ask.update);
+        let server = ask.update.server;
         let decision = match self.limit(now, server) {
-            None => SendDecision::Granted,
-            Some(_) if !is_owner => SendDecision::Refused { wait_ms: MOVED_PAUSE_MS },
-            Some(limit) => self.desk.receive(now, from, ask, limit),
+            None => PermitDecision::Granted,
+            Some(_) if !is_owner => PermitDecision::Refused { wait_ms: MOVED_PAUSE_MS },
+            Some(limit) => self.ledger.receive(now, from, ask, limit),
         };
-        (SendReply { sequence: ask.sequence, news: self.book.news(server), decision }, change)
+        (
+            PermitReply { sequence: ask.sequence, update: self.limits.latest(server), decision },
+            change,
+        )
     }
 
     /// The reply to a request's question came, or none did. True if it may go; then it counts as sent.
-    pub fn hear_reply(&mut self, now: TimePoint, ask: &SendAsk, reply: Option<&SendReply>) -> bool {
-        let server = ask.news.server;
+    pub fn apply_reply(
+        &mut self,
+        now: TimePoint,
+        ask: &PermitRequest,
+        reply: Option<&PermitReply>,
+    ) -> bool {
+        let server = ask.update.server;
         if let Some(reply) = reply {
             // What this changes was told by the owner to others as well.
-            self.book.merge(now, &reply.news);
+            self.limits.merge(now, &reply.update);
         }
         let wait = match reply.map(|reply| reply.decision) {
-            Some(SendDecision::Granted) => {
-                self.log.note(now, server);
+            Some(PermitDecision::Granted) => {
+                self.log.record(now, server);
                 return true;
             }
-            Some(SendDecision::Refused { wait_ms }) => Duration::from_millis(wait_ms.into()),
+            Some(PermitDecision::Refused { wait_ms }) => Duration::from_millis(wait_ms.into()),
             None => SILENT_PAUSE,
         };
-        self.closed.note(now, server, ask.rank, wait);
+        self.closed.record(now, server, ask.rank, wait);
         false
     }
 
     /// A server answered a request that was sent at `sent_at`, and named `limit` or none. Returns what changed by
     /// it, and what its owner is to be told.
-    pub fn hear_answer(
+    pub fn apply_answer(
         &mut self,
         now: TimePoint,
         sent_at: TimePoint,
         server: ServerKey,
         limit: Option<ServerLimit>,
-    ) -> (Option<LimitChange>, Option<LimitAnswered>) {
-        let change = limit.and_then(|limit| self.book.hear(now, sent_at, server, limit));
-        let news = self.book.news(server);
-        let is_later = change.is_some() || self.book.is_later(sent_at, server);
+    ) -> (Option<LimitChange>, Option<LimitObservation>) {
+        let change = limit.and_then(|limit| self.limits.apply_answer(now, sent_at, server, limit));
+        let news = self.limits.latest(server);
+        let is_later = change.is_some() || self.limits.is_later(sent_at, server);
         let told = (news.limit.is_some() && is_later)
-            .then_some(LimitAnswered { news, is_named: limit.is_some() });
+            .then_some(LimitObservation { update: news, is_named: limit.is_some() });
         (change, told)
     }
 
     /// Takes note, as the owner, of an answer that another host or this one got.
-    pub fn hear_answered(&mut self, now: TimePoint, answered: &LimitAnswered) -> Vec<LimitChange> {
-        let LimitNews { server, version, .. } = answered.news;
-        let merged = self.book.merge(now, &answered.news);
-        let counted = self.book.note_answer(now, server, version, answered.is_named);
+    pub fn apply_observation(
+        &mut self,
+        now: TimePoint,
+        answered: &LimitObservation,
+    ) -> Vec<LimitChange> {
+        let LimitUpdate { server, version, .. } = answered.update;
+        let merged = self.limits.merge(now, &answered.update);
+        let counted = self.limits.record_answer(now, server, version, answered.is_named);
         merged.into_iter().chain(counted).collect()
     }
 
@@ -140,7 +152,7 @@
 
     /// Forgets what is old.
     pub fn expire(&mut self, now: TimePoint, is_there: impl Fn(ServerKey) -> bool) {
-        self.book.expire(now, is_there);
+        self.limits.expire(now, is_there);
         self.log.expire(now);
         self.closed.expire(now);
         self.cold.expire(now);
--- a/src/server_limits/send_trail.rs
+++ b/src/server_limits/send_history.rs
@@ -3,7 +3,7 @@
 
 /// Requests sent within one short time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TrailPoint {
+pub struct HistoryPoint {
     /// Milliseconds before the trail was made.
     pub age_ms: u16,
     /// Requests.
@@ -12,9 +12,9 @@
 
 /// Requests that one host sent to one server in the last seconds, oldest first.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SendTrail(pub Vec<TrailPoint>);
+pub struct SendHistory(pub Vec<HistoryPoint>);
 
-impl SendTrail {
+impl SendHistory {
     /// Age and count of what was sent within the last `span`, as of `elapsed` after the trail was made.
     pub fn within(
         &self,
@@ -29,6 +29,6 @@
 
     /// Adds a request that goes as the trail is made.
     pub fn add_now(&mut self) {
-        self.0.push(TrailPoint { age_ms: 0, count: 1 });
+        self.0.push(HistoryPoint { age_ms: 0, count: 1 });
     }
 }
--- a/src/server_limits/send_desk.rs
+++ b/src/server_limits/send_ledger.rs
@@ -1,5 +1,5 @@
 use super::send_account::SendAccount;
-use super::{SendAsk, SendDecision, ServerLimit};
+use super::{PermitDecision, PermitRequest, ServerLimit};
 use crate::keys::{IncarnationId, ServerKey, TimePoint};
 use crate::limits::OwnerTerm;
 use std::collections::HashMap;
@@ -14,22 +14,22 @@
 
 /// What a host grants as the owner of servers that have a limit.
 #[derive(Debug, Default)]
-pub struct SendDesk {
+pub struct SendLedger {
     accounts: HashMap<ServerKey, SendAccount>,
     /// How long they have been kept without a break.
     term: OwnerTerm,
 }
 
-impl SendDesk {
+impl SendLedger {
     /// Decides on a question about a server that has `limit`.
     pub fn receive(
         &mut self,
         now: TimePoint,
         from: IncarnationId,
-        ask: &SendAsk,
+        ask: &PermitRequest,
         limit: ServerLimit,
-    ) -> SendDecision {
-        let account = self.accounts.entry(ask.news.server);
+    ) -> PermitDecision {
+        let account = self.accounts.entry(ask.update.server);
         account.or_insert_with(|| SendAccount::new(now)).receive(now, from, ask, limit)
     }
 
@@ -42,7 +42,7 @@
     /// what another one granted meanwhile is not known here. Called several times a second; if it was not, this host was
     /// suspended, others took its place, and it learns anew.
     pub fn retain(&mut self, now: TimePoint, has_owned: impl Fn(ServerKey) -> bool) {
-        let is_unbroken = self.term.look(now);
+        let is_unbroken = self.term.renew(now);
         self.accounts.retain(|server, account| {
             account.expire(now);
             is_unbroken && has_owned(*server)
--- a/src/server_limits/send_log.rs
+++ b/src/server_limits/send_log.rs
@@ -1,19 +1,19 @@
-use super::SendTrail;
-use super::send_trail::TrailPoint;
+use super::SendHistory;
+use super::send_history::HistoryPoint;
 use crate::keys::{ServerKey, TimePoint};
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 /// How long sends are remembered: longer than the window in which a server's limit is counted, so that what
 /// was sent before a limit was known counts against it.
-pub const LOG_TIME: Duration = Duration::from_secs(5);
+pub const LOG_RETENTION: Duration = Duration::from_secs(5);
 /// Sends within this time are counted as one entry, which bounds the log at 100 entries a server.
 const GRAIN: Duration = Duration::from_millis(50);
 
 /// Sends that began within one grain of time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct SendCount {
-    began: TimePoint,
+    started_at: TimePoint,
     count: u32,
 }
 
@@ -25,21 +25,21 @@
 
 impl SendLog {
     /// A request goes to a server.
-    pub fn note(&mut self, now: TimePoint, server: ServerKey) {
+    pub fn record(&mut self, now: TimePoint, server: ServerKey) {
         let began = grain(now);
         let counts = self.servers.entry(server).or_default();
         drop_old(now, counts);
         match counts.back_mut() {
-            Some(last) if last.began == began => last.count += 1,
-            _ => counts.push_back(SendCount { began, count: 1 }),
+            Some(last) if last.started_at == began => last.count += 1,
+            _ => counts.push_back(SendCount { started_at: began, count: 1 }),
         }
     }
 
     /// A request that was noted at `at` did not go.
-    pub fn take_back(&mut self, at: TimePoint, server: ServerKey) {
+    pub fn undo(&mut self, at: TimePoint, server: ServerKey) {
         let began = grain(at);
         let Some(counts) = self.servers.get_mut(&server) else { return };
-        if let Some(entry) = counts.iter_mut().find(|entry| entry.began == began) {
+        if let Some(entry) = counts.iter_mut().find(|entry| entry.started_at == began) {
             entry.count = entry.count.saturating_sub(1);
         }
     }
@@ -47,14 +47,18 @@
     /// Requests that went to a server within the last `span`.
     pub fn recent(&self, now: TimePoint, server: ServerKey, span: Duration) -> u32 {
         let counts = self.servers.get(&server).into_iter().flatten();
-        counts.filter(|entry| now.since(entry.began + GRAIN) < span).map(|entry| entry.count).sum()
+        counts
+            .filter(|entry| now.since(entry.started_at + GRAIN) < span)
+            .map(|entry| entry.count)
+            .sum()
     }
 
     /// All that went to a server in the time that is remembered.
-    pub fn trail(&self, now: TimePoint, server: ServerKey) -> SendTrail {
+    pub fn history(&self, now: TimePoint, server: ServerKey) -> SendHistory {
         let counts = self.servers.get(&server).into_iter().flatten();
-        let recent = counts.filter(|entry| entry.count > 0 && now.since(entry.began) < LOG_TIME);
-        SendTrail(recent.map(|entry| entry.point(now)).collect())
+        let recent =
+            counts.filter(|entry| entry.count > 0 && now.since(entry.started_at) < LOG_RETENTION);
+        SendHistory(recent.map(|entry| entry.point(now)).collect())
     }
 
     /// Forgets what is old.
@@ -68,9 +72,9 @@
 
 impl SendCount {
     /// Counted from the end of its grain: a send is never taken for older than it is.
-    fn point(self, now: TimePoint) -> TrailPoint {
-        let age = now.since(self.began + GRAIN).as_millis();
-        TrailPoint {
+    fn point(self, now: TimePoint) -> HistoryPoint {
+        let age = now.since(self.started_at + GRAIN).as_millis();
+        HistoryPoint {
             age_ms: u16::try_from(age).unwrap_or(u16::MAX),
             count: u16::try_from(self.count).unwrap_or(u16::MAX),
         }
@@ -78,7 +82,7 @@
 }
 
 fn drop_old(now: TimePoint, counts: &mut VecDeque<SendCount>) {
-    while counts.front().is_some_and(|entry| now.since(entry.began) > LOG_TIME) {
+    while counts.front().is_some_and(|entry| now.since(entry.started_at) > LOG_RETENTION) {
         counts.pop_front();
     }
 }
--- a/src/server_limits/send_messages.rs
+++ b/src/server_limits/send_messages.rs
@@ -1,44 +1,44 @@
-use super::{CallRank, LimitNews, SendTrail};
+use super::{CallRank, LimitUpdate, SendHistory};
 use serde::{Deserialize, Serialize};
 
 /// What a host wants of a server's owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum AskPurpose {
+pub enum PermitPurpose {
     /// To send a request.
     Send,
     /// To know when a caller may come back that is refused now.
-    ComeBack,
+    RetryAfter,
     /// Nothing: a request that was granted did not go.
-    GiveBack,
+    Release,
     /// Nothing: it tells what it sent.
-    Tell,
+    Report,
 }
 
-impl AskPurpose {
+impl PermitPurpose {
     /// Whether a reply is waited for.
     pub fn wants_reply(self) -> bool {
-        matches!(self, Self::Send | Self::ComeBack)
+        matches!(self, Self::Send | Self::RetryAfter)
     }
 }
 
 /// A host asks the owner of a server that has a limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct SendAsk {
+pub struct PermitRequest {
     /// Rises with each question of the host.
     pub sequence: u32,
     /// What the host knows of the limit.
-    pub news: LimitNews,
+    pub update: LimitUpdate,
     /// What it wants.
-    pub purpose: AskPurpose,
+    pub purpose: PermitPurpose,
     /// How urgent the request is.
     pub rank: CallRank,
     /// What it sent to the server lately.
-    pub trail: SendTrail,
+    pub history: SendHistory,
 }
 
 /// What an owner decided.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum SendDecision {
+pub enum PermitDecision {
     /// The request may go.
     Granted,
     /// It may not; another one may be asked for after so many milliseconds.
@@ -50,20 +50,20 @@
 
 /// The owner's reply.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct SendReply {
+pub struct PermitReply {
     /// Sequence of the question.
     pub sequence: u32,
     /// What the owner knows of the limit.
-    pub news: LimitNews,
+    pub update: LimitUpdate,
     /// What it decided.
-    pub decision: SendDecision,
+    pub decision: PermitDecision,
 }
 
 /// A server that has a limit answered a request; told to its owner, who counts answers without it.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct LimitAnswered {
+pub struct LimitObservation {
     /// What the host knows of the limit.
-    pub news: LimitNews,
+    pub update: LimitUpdate,
     /// The answer named it.
     pub is_named: bool,
 }
--- a/src/server_limits/server_limit.rs
+++ b/src/server_limits/server_limit.rs
@@ -21,7 +21,7 @@
 
     /// The smaller of this limit and another one.
     #[must_use]
-    pub fn least(self, other: Self) -> Self {
+    pub fn min(self, other: Self) -> Self {
         Self(self.0.min(other.0))
     }
 
--- a/tests/cold_servers.rs
+++ b/tests/cold_servers.rs
@@ -8,7 +8,7 @@
 use tealcleat::keys::{IncarnationId, NameKey, ServerKey, TimePoint};
 use tealcleat::organisations::KeyHasher;
 use tealcleat::platform::{StoreObject, decode_config, decode_server};
-use tealcleat::server_limits::{AskPurpose, CallRank, SendControl, SendDecision, ServerLimit};
+use tealcleat::server_limits::{CallRank, PermitDecision, PermitPurpose, SendControl, ServerLimit};
 
 mod limit_common;
 
@@ -77,7 +77,7 @@
 /// One of many hosts, which all know the same of one cold server.
 fn host(server: ServerKey) -> SendControl {
     let mut sends = SendControl::default();
-    sends.cold.note(server, at(COLD_MS.into()), limit("12"));
+    sends.cold.record(server, at(COLD_MS.into()), limit("12"));
     sends
 }
 
@@ -87,7 +87,7 @@
     let mut sends = host(key);
     assert_eq!(sends.limit(at(0), key), Some(limit("12")));
     assert_eq!(sends.limited(at(0)), [key]);
-    sends.book.hear(at(0), at(0), key, limit("5"));
+    sends.limits.apply_answer(at(0), at(0), key, limit("5"));
     assert_eq!(sends.limit(at(0), key), Some(limit("5")));
     assert_eq!(sends.limited(at(0)), [key]);
     let warm = host(key);
@@ -110,10 +110,10 @@
         if !asking.is_open(now, key, CallRank::default()) {
             continue;
         }
-        let ask = asking.ask(now, key, CallRank::default(), AskPurpose::Send);
+        let ask = asking.permit_request(now, key, CallRank::default(), PermitPurpose::Send);
         let (reply, _) = owner.receive(now, from, &ask, true);
-        if asking.hear_reply(now, &ask, Some(&reply)) {
-            assert_eq!(reply.decision, SendDecision::Granted);
+        if asking.apply_reply(now, &ask, Some(&reply)) {
+            assert_eq!(reply.decision, PermitDecision::Granted);
             sent.push(millis);
         }
     }
--- a/tests/crash_copies.rs
+++ b/tests/crash_copies.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tealcleat::keys::{NameKey, RequestKey};
 use tealcleat::platform::{decode_crashes, encode_crashes};
-use tealcleat::quarantine::CrashNews;
+use tealcleat::quarantine::CrashUpdate;
 
 const CRASHER: RequestKey = RequestKey(u64::MAX);
 
@@ -16,9 +16,9 @@
     let written = UNIX_EPOCH + Duration::from_secs(1_800_000_000);
     let read = UNIX_EPOCH + Duration::from_secs((1_800_000_000 + later_s) as u64);
     let news =
-        CrashNews { server: NameKey(1), age_ms: 0, idle_ms: 0, requests: vec![CRASHER.into()] };
+        CrashUpdate { server: NameKey(1), age_ms: 0, idle_ms: 0, requests: vec![CRASHER.into()] };
     let copy = encode_crashes(std::slice::from_ref(&news), written);
-    let expected = CrashNews { age_ms, idle_ms: age_ms, ..news };
+    let expected = CrashUpdate { age_ms, idle_ms: age_ms, ..news };
     assert_eq!(decode_crashes(&copy, read).expect("crashes"), [expected]);
 }
 
--- a/tests/crash_crowds.rs
+++ b/tests/crash_crowds.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use std::collections::HashMap;
 use tealcleat::keys::{NameKey, RequestKey, ServerKey, TimePoint};
-use tealcleat::quarantine::{BreakOff, CrashBook, NEWS_TIME, RequestVerdict};
+use tealcleat::quarantine::{ConnectionLoss, CrashTracker, RequestVerdict, SETTLE_TIME};
 
 const STEP_MS: u64 = 5;
 const LENGTH_MS: u64 = 8_000;
@@ -88,7 +88,7 @@
     plan: CrowdPlan,
     random: StdRng,
     now_ms: u64,
-    books: Vec<CrashBook>,
+    books: Vec<CrashTracker>,
     servers: Vec<Server>,
     runs: Vec<Run>,
     doubts: Vec<Doubt>,
@@ -108,7 +108,7 @@
             plan,
             random: StdRng::seed_from_u64(seed),
             now_ms: 0,
-            books: vec![CrashBook::default(); HOSTS],
+            books: vec![CrashTracker::default(); HOSTS],
             servers: (0..plan.servers).map(|_| Server::default()).collect(),
             runs: Vec::new(),
             doubts: Vec::new(),
@@ -159,12 +159,14 @@
         }
         match self.books[host].verdict(request) {
             RequestVerdict::Free => self.send(request, host, attempts),
-            RequestVerdict::Unsettled { .. } if at(self.now_ms).since(at(began_ms)) < NEWS_TIME => {
+            RequestVerdict::Unsettled { .. }
+                if at(self.now_ms).since(at(began_ms)) < SETTLE_TIME =>
+            {
                 self.waits.push(wait);
             }
             RequestVerdict::Unsettled { .. } => self.send(request, host, attempts),
             RequestVerdict::Held => {
-                self.books[host].note_return(at(self.now_ms), request);
+                self.books[host].record_return(at(self.now_ms), request);
                 self.report.innocents_held += usize::from(request.0 < CRASHING && attempts == 0);
             }
         }
@@ -201,7 +203,7 @@
             if run.request.0 >= CRASHING {
                 self.crash(run);
             } else if self.servers[run.server].back_ms <= now_ms {
-                self.books[run.host].note_served(at(now_ms), run.request);
+                self.books[run.host].record_served(at(now_ms), run.request);
             }
         }
     }
@@ -244,15 +246,15 @@
         self.doubts = rest;
         for Doubt { life, run, broke_ms, .. } in due {
             let Run { request, host, began_ms, .. } = run;
-            let broken = BreakOff { request, began_at: at(began_ms), broke_at: at(broke_ms) };
-            self.books[host].note_broken(at(now_ms), life, &broken);
+            let broken = ConnectionLoss { request, sent_at: at(began_ms), lost_at: at(broke_ms) };
+            self.books[host].record_loss(at(now_ms), life, &broken);
         }
     }
 
     fn spread(&mut self) {
         let now = at(self.now_ms);
         for from in 0..HOSTS {
-            let report = self.books[from].untold(now);
+            let report = self.books[from].unsent(now);
             if report.is_empty() {
                 continue;
             }
--- a/tests/crash_news.rs
+++ b/tests/crash_updates.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tealcleat::keys::{NameKey, RequestKey, ServerKey, TimePoint};
 use tealcleat::quarantine::{
-    BreakOff, CrashBook, CrashEvidence, CrashReport, NEWS_TIME, RequestVerdict,
+    ConnectionLoss, CrashEvidence, CrashReport, CrashTracker, RequestVerdict, SETTLE_TIME,
 };
 
 /// Crashes three servers, one after the other.
@@ -22,27 +22,27 @@
     NameKey(0xa000 + number)
 }
 
-fn run(request: RequestKey, began_ms: u64, broke_ms: u64) -> BreakOff {
-    BreakOff { request, began_at: at(began_ms), broke_at: at(broke_ms) }
+fn run(request: RequestKey, began_ms: u64, broke_ms: u64) -> ConnectionLoss {
+    ConnectionLoss { request, sent_at: at(began_ms), lost_at: at(broke_ms) }
 }
 
 /// Takes part in the exchange of news up to `until`.
-fn tick(book: &mut CrashBook, until: TimePoint) {
+fn tick(book: &mut CrashTracker, until: TimePoint) {
     let mut now = at(0);
     while now <= until {
-        drop(book.untold(now));
+        drop(book.unsent(now));
         now = now + TICK;
     }
 }
 
 /// A crash each 25 ms, as one host sees it that had these requests there.
-fn book_of(crashes: &[(u64, &[RequestKey])]) -> CrashBook {
-    let mut book = CrashBook::default();
-    drop(book.untold(at(0)));
+fn book_of(crashes: &[(u64, &[RequestKey])]) -> CrashTracker {
+    let mut book = CrashTracker::default();
+    drop(book.unsent(at(0)));
     for (number, requests) in crashes {
         let broke_ms = 25 * (number + 1);
         for request in *requests {
-            book.note_broken(at(60), server(*number), &run(*request, broke_ms - 20, broke_ms));
+            book.record_loss(at(60), server(*number), &run(*request, broke_ms - 20, broke_ms));
         }
     }
     book
@@ -50,7 +50,7 @@
 
 /// What three hosts know right after the third crash. Seen: the first one refused contents of its callers, which were
 /// at all three crashes by way of itself; that another request was there too it heard 40 ms later.
-fn books_of_hosts() -> [CrashBook; 3] {
+fn books_of_hosts() -> [CrashTracker; 3] {
     [
         book_of(&[(0, &[CROWD]), (1, &[CROWD]), (2, &[CROWD])]),
         book_of(&[(0, &[CRASHER, CROWD]), (1, &[CRASHER])]),
@@ -58,8 +58,8 @@
     ]
 }
 
-fn reports(books: &mut [CrashBook]) -> Vec<CrashReport> {
-    books.iter_mut().map(|book| book.untold(at(70))).collect()
+fn reports(books: &mut [CrashTracker]) -> Vec<CrashReport> {
+    books.iter_mut().map(|book| book.unsent(at(70))).collect()
 }
 
 /// Guards against refusals from what one host knows of a crash before the others have told.
@@ -79,7 +79,7 @@
 fn verdict_the_same_in_each_order_of_news(#[values(0, 1, 2, 3, 4, 5)] order: usize) {
     let orders = [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]];
     let reports = reports(&mut books_of_hosts());
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     for (place, millis) in orders[order].into_iter().zip([100, 130, 400]) {
         book.merge(at(millis), &reports[place]);
     }
@@ -88,7 +88,7 @@
     assert_eq!(book.verdict(CRASHER), RequestVerdict::Free, "a fourth crash tells them apart");
     let told: Vec<CrashEvidence> = [CRASHER, CROWD].map(|key| book.evidence(key)).to_vec();
     assert!(told.iter().all(|evidence| evidence.crashes == 3 && evidence.has_companion));
-    book.note_broken(at(3100), server(3), &run(CRASHER, 3050, 3070));
+    book.record_loss(at(3100), server(3), &run(CRASHER, 3050, 3070));
     tick(&mut book, at(5000));
     assert_eq!(book.verdict(CRASHER), RequestVerdict::Held);
     assert_eq!(book.verdict(CROWD), RequestVerdict::Free);
@@ -98,11 +98,11 @@
 fn crasher_held_once_news_could_have_come() {
     let mut book = book_of(&[(0, &[CRASHER]), (1, &[CRASHER]), (2, &[CRASHER])]);
     assert!(
-        matches!(book.verdict(CRASHER), RequestVerdict::Unsettled { wait } if wait <= NEWS_TIME)
+        matches!(book.verdict(CRASHER), RequestVerdict::Unsettled { wait } if wait <= SETTLE_TIME)
     );
-    tick(&mut book, at(60) + NEWS_TIME);
+    tick(&mut book, at(60) + SETTLE_TIME);
     assert!(matches!(book.verdict(CRASHER), RequestVerdict::Unsettled { wait } if wait <= TICK));
-    tick(&mut book, at(60) + NEWS_TIME + TICK);
+    tick(&mut book, at(60) + SETTLE_TIME + TICK);
     assert_eq!(book.verdict(CRASHER), RequestVerdict::Held);
 }
 
@@ -112,23 +112,23 @@
     let mut book = book_of(&[(0, &[CRASHER]), (1, &[CRASHER]), (2, &[CRASHER])]);
     tick(&mut book, at(200));
     assert!(matches!(book.verdict(CRASHER), RequestVerdict::Unsettled { .. }));
-    drop(book.untold(at(5000)));
+    drop(book.unsent(at(5000)));
     assert!(matches!(book.verdict(CRASHER), RequestVerdict::Unsettled { .. }));
     for millis in (5000..6000).step_by(100) {
-        drop(book.untold(at(millis)));
+        drop(book.unsent(at(millis)));
     }
     assert_eq!(book.verdict(CRASHER), RequestVerdict::Held);
 }
 
 /// A book of crashes at these moments, all of it settled, with a run of the crowd's contents at each that had begun so long
 /// before, and one of another request.
-fn settled_book(crashes_ms: &[u64], ran_ms: u64) -> CrashBook {
-    let mut book = CrashBook::default();
-    drop(book.untold(at(0)));
+fn settled_book(crashes_ms: &[u64], ran_ms: u64) -> CrashTracker {
+    let mut book = CrashTracker::default();
+    drop(book.unsent(at(0)));
     for (millis, number) in crashes_ms.iter().zip(0..) {
         let now = at(*millis);
-        book.note_broken(now, server(number), &run(CROWD, millis - ran_ms, *millis));
-        book.note_broken(now, server(number), &run(RequestKey(10 + number), millis - 20, *millis));
+        book.record_loss(now, server(number), &run(CROWD, millis - ran_ms, *millis));
+        book.record_loss(now, server(number), &run(RequestKey(10 + number), millis - 20, *millis));
     }
     tick(&mut book, at(crashes_ms.last().copied().unwrap_or_default() + 1000));
     book
@@ -155,12 +155,12 @@
 #[case::oldest_first(&[0, 900])]
 #[case::oldest_last(&[900, 0])]
 fn oldest_run_told_to_other_hosts(#[case] began_ms: &[u64]) {
-    let mut told = CrashBook::default();
+    let mut told = CrashTracker::default();
     for began in began_ms {
-        let mut book = CrashBook::default();
-        book.note_broken(at(1010), server(0), &run(CROWD, *began, 1000));
-        told.merge(at(1050), &book.untold(at(1050)));
+        let mut book = CrashTracker::default();
+        book.record_loss(at(1010), server(0), &run(CROWD, *began, 1000));
+        told.merge(at(1050), &book.unsent(at(1050)));
     }
-    let report = told.whole_report(at(1050));
+    let report = told.full_report(at(1050));
     assert_eq!(report.crashes[0].requests[0].ran_ms, 1000);
 }
--- a/tests/crash_world.rs
+++ b/tests/crash_world.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use std::collections::HashMap;
 use tealcleat::keys::{NameKey, RequestKey, ServerKey, TimePoint};
-use tealcleat::quarantine::CrashBook;
+use tealcleat::quarantine::CrashTracker;
 
 const STEP_MS: u64 = 10;
 const LENGTH_MS: u64 = 24_000;
@@ -72,7 +72,7 @@
     plan: WorldPlan,
     random: StdRng,
     now_ms: u64,
-    books: Vec<CrashBook>,
+    books: Vec<CrashTracker>,
     servers: Vec<Server>,
     runs: Vec<Run>,
     serial: u64,
@@ -88,7 +88,7 @@
             plan,
             random: StdRng::seed_from_u64(seed),
             now_ms: 0,
-            books: vec![CrashBook::default(); HOSTS],
+            books: vec![CrashTracker::default(); HOSTS],
             servers: (0..SERVERS).map(|_| Server::default()).collect(),
             runs: Vec::new(),
             serial: 0,
@@ -140,9 +140,9 @@
 
     fn send_first(&mut self, request: RequestKey) {
         let host = self.random.random_range(0..HOSTS);
-        if self.books[host].holds(request) {
+        if self.books[host].is_held(request) {
             let now = self.now();
-            self.books[host].note_return(now, request);
+            self.books[host].record_return(now, request);
             self.report.innocents_held += usize::from(request.0 < CRASHING);
             return;
         }
@@ -150,7 +150,7 @@
     }
 
     fn send(&mut self, request: RequestKey, host: usize, attempts: u32) {
-        if attempts >= ATTEMPTS || self.books[host].holds(request) {
+        if attempts >= ATTEMPTS || self.books[host].is_held(request) {
             return;
         }
         let up: Vec<usize> =
@@ -177,7 +177,7 @@
                 self.crash(run);
             } else if self.servers[run.server].back_ms <= now_ms {
                 let now = self.now();
-                self.books[run.host].note_served(now, run.request);
+                self.books[run.host].record_served(now, run.request);
             }
         }
     }
@@ -202,7 +202,7 @@
         self.servers[place] =
             Server { life: self.servers[place].life + 1, back_ms: self.now_ms + back };
         for run in &lost {
-            self.books[run.host].note_crash(now, life, run.request);
+            self.books[run.host].record_crash(now, life, run.request);
         }
         for run in lost {
             self.send(run.request, run.host, run.attempts);
@@ -212,7 +212,7 @@
     fn spread(&mut self) {
         let now = self.now();
         for from in 0..HOSTS {
-            let report = self.books[from].untold(now);
+            let report = self.books[from].unsent(now);
             if report.is_empty() {
                 continue;
             }
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tealcleat::bench::site::{RestartPlace, SiteCall, SitePlan, TestSite, call_site};
 use tealcleat::bench::{GatewayProcess, ProcessPlan};
-use tealcleat::quarantine::CRASH_LIFE;
+use tealcleat::quarantine::CRASH_RETENTION;
 
 mod machine_common;
 mod site_common;
@@ -174,7 +174,7 @@
         let reply = reply.expect("an answer");
         assert_eq!(reply.status, 503);
         let pause: f64 = reply.header("retry-after").parse().expect("seconds");
-        assert!(pause >= CRASH_LIFE.as_secs_f64() / 2.0, "{pause}");
+        assert!(pause >= CRASH_RETENTION.as_secs_f64() / 2.0, "{pause}");
         let log = host.log().expect("a log");
         let crashes = log.lines().filter(|line| line.contains("event=server_crashed"));
         assert!(crashes.count() >= CRASHES, "each crash is told");
--- a/tests/limit_common/mod.rs
+++ b/tests/limit_common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use tealcleat::keys::{NameKey, ServerKey, TimePoint};
-use tealcleat::server_limits::{LimitNews, ServerLimit};
+use tealcleat::server_limits::{LimitUpdate, ServerLimit};
 
 /// A moment when hosts are no longer young.
 pub fn at(millis: u64) -> TimePoint {
@@ -21,6 +21,6 @@
 }
 
 /// What a host tells of the server's limit.
-pub fn news(version: u32, text: Option<&str>) -> LimitNews {
-    LimitNews { server: server(), version, limit: text.map(limit) }
+pub fn news(version: u32, text: Option<&str>) -> LimitUpdate {
+    LimitUpdate { server: server(), version, limit: text.map(limit) }
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 use tealcleat::keys::{IncarnationId, NameKey, OrgKey, TimePoint};
 use tealcleat::limits::{
-    LimitAnswer, LimitAsk, LimitBounds, LimitBucket, LimitLedger, LimitLoan, LimitMeter,
+    LimitBounds, LimitBucket, LimitLedger, LimitLoan, LimitMeter, LimitReply, LimitRequest,
     LimitShare, OwnerChoice, SilentOwners, choose_owner,
 };
 use tealcleat::membership::MemberUpdate;
 use tealcleat::organisations::{LimitUnit, OrgLimit};
 
-const SHARE: LimitShare = LimitShare { rate: 1000.0, burst: 2000.0, first: 2000.0 };
+const SHARE: LimitShare = LimitShare { rate: 1000.0, burst: 2000.0, initial: 2000.0 };
 const FIRST_HOST: IncarnationId = IncarnationId(1);
 const SECOND_HOST: IncarnationId = IncarnationId(2);
 
@@ -23,8 +23,8 @@
     OrgKey::of("moonbook")
 }
 
-fn ask(used: i64, units: u32) -> LimitAsk {
-    LimitAsk { sequence: 1, org: org(), used, units, seen_level: None }
+fn ask(used: i64, units: u32) -> LimitRequest {
+    LimitRequest { sequence: 1, org: org(), used, units, seen_level: None }
 }
 
 #[test]
@@ -32,21 +32,21 @@
     let limit = OrgLimit { rate: 30_000.0, burst: 30_000.0, unit: LimitUnit::Requests };
     let bounds =
         LimitBounds { window: Duration::from_secs(8), over: 0.1, slack: 3000.0, domains: 3 };
-    let share = LimitShare::of_domain(&limit, &bounds);
+    let share = LimitShare::for_domain(&limit, &bounds);
     // A third of each, with 0.65 of what the bounds tolerate: 0.065 more, and 1,950 units at one time.
     let close = |value: f64, expected: f64| assert!((value - expected).abs() < 1e-6, "{value}");
     close(share.rate, 10_650.0);
     close(share.burst, 11_300.0);
     // A tenth of 0.1 x 9 x 30,000 + 3,000, over three domains.
-    close(share.first, 1000.0);
-    let half = share.part(10, 20);
+    close(share.initial, 1000.0);
+    let half = share.scaled(10, 20);
     close(half.rate, 5325.0);
     close(half.burst, 5650.0);
-    let alone = share.of_host(20);
+    let alone = share.for_host(20);
     close(alone.rate, 532.5);
     close(alone.burst, 0.0);
     // Owners of all domains together, in the worst window, and new ones after a loss of all hosts.
-    let window = 3.0 * share.rate.mul_add(8.0, share.burst + share.first);
+    let window = 3.0 * share.rate.mul_add(8.0, share.burst + share.initial);
     assert!(window <= 0.1f64.mul_add(9.0 * 30_000.0, 9.0 * 30_000.0 + 3000.0));
 }
 
@@ -71,7 +71,7 @@
 
 #[test]
 fn bucket_of_one_host_lets_one_request_at_a_time() {
-    let share = SHARE.of_host(10);
+    let share = SHARE.for_host(10);
     let mut bucket = LimitBucket::new(at(0), 0.0);
     assert!(bucket.try_take(at(0), &share, 200.0));
     assert!(!bucket.try_take(at(1900), &share, 200.0));
@@ -116,9 +116,9 @@
     #[case] is_settled: bool,
     #[case] expected: i32,
 ) {
-    let share = LimitShare { first: 120.0, ..SHARE };
+    let share = LimitShare { initial: 120.0, ..SHARE };
     let mut ledger = LimitLedger::default();
-    let ask = LimitAsk { seen_level, ..ask(700, 0) };
+    let ask = LimitRequest { seen_level, ..ask(700, 0) };
     assert_eq!(ledger.receive(at(0), FIRST_HOST, &ask, &share, is_settled).level, expected);
 }
 
@@ -129,9 +129,9 @@
 fn new_owner_learns_from_the_next_hosts(#[case] after_ms: u64, #[case] expected: i32) {
     let still = LimitShare { rate: 0.0, ..SHARE };
     let mut ledger = LimitLedger::default();
-    let first = LimitAsk { seen_level: Some(2000), ..ask(0, 0) };
+    let first = LimitRequest { seen_level: Some(2000), ..ask(0, 0) };
     ledger.receive(at(0), FIRST_HOST, &first, &still, false);
-    let second = LimitAsk { seen_level: Some(300), ..ask(0, 0) };
+    let second = LimitRequest { seen_level: Some(300), ..ask(0, 0) };
     let answer = ledger.receive(at(after_ms), SECOND_HOST, &second, &still, false);
     assert_eq!(answer.level, expected);
 }
@@ -142,13 +142,13 @@
     lender.receive(at(0), FIRST_HOST, &ask(0, 0), &SHARE, true);
     borrower.receive(at(0), SECOND_HOST, &ask(1800, 1800), &SHARE, true);
     assert!(borrower.wants_loan(at(0), org(), &SHARE));
-    let wanted = borrower.ask_loans(at(0), org(), &SHARE, 1)[0];
+    let wanted = borrower.request_loans(at(0), org(), &SHARE, 1)[0];
     assert_eq!(wanted.units, 1800);
     let loan = lender.lend(at(0), &wanted, &SHARE).expect("it has some");
     // A lender keeps half of its burst.
     assert_eq!(loan.units, 1000);
     assert_eq!(lender.receive(at(0), FIRST_HOST, &ask(0, 0), &SHARE, true).level, 1000);
-    borrower.borrow(at(10), &loan, &SHARE);
+    borrower.accept_loan(at(10), &loan, &SHARE);
     assert_eq!(borrower.receive(at(10), SECOND_HOST, &ask(1800, 0), &SHARE, true).level, 1210);
     assert_eq!(lender.lend(at(0), &wanted, &SHARE), None);
     // It asks again only after a pause.
@@ -170,11 +170,11 @@
     let still = LimitShare { rate: 0.0, ..SHARE };
     ledger.receive(at(0), FIRST_HOST, &ask(1800, 1800), &still, true);
     assert!(ledger.wants_loan(at(0), org(), &still));
-    let wanted = ledger.ask_loans(at(0), org(), &still, 2);
+    let wanted = ledger.request_loans(at(0), org(), &still, 2);
     assert_eq!(wanted.iter().map(|ask| ask.units).collect::<Vec<u32>>(), [900, 900]);
     for sequence in sequences {
         let loan = LimitLoan { sequence: *sequence, org: org(), units: 500 };
-        ledger.borrow(at(after_ms), &loan, &still);
+        ledger.accept_loan(at(after_ms), &loan, &still);
     }
     let level = ledger.receive(at(after_ms), FIRST_HOST, &ask(1800, 0), &still, true).level;
     assert_eq!(level, 200 + gained);
@@ -186,7 +186,7 @@
 #[case::others_owned_it(false, 400)]
 #[case::its_own_all_the_time(true, 2_000)]
 fn former_owner_begins_anew(#[case] is_owned: bool, #[case] expected: i32) {
-    let share = LimitShare { first: 400.0, ..SHARE };
+    let share = LimitShare { initial: 400.0, ..SHARE };
     let mut ledger = LimitLedger::default();
     ledger.receive(at(0), FIRST_HOST, &ask(2_000, 2_000), &share, true);
     for millis in (250..=8_000).step_by(250) {
@@ -200,30 +200,30 @@
 fn lower_limit_drops_what_was_saved_up() {
     let mut ledger = LimitLedger::default();
     ledger.receive(at(0), FIRST_HOST, &ask(0, 0), &SHARE, true);
-    let lower = LimitShare { rate: 10.0, burst: 20.0, first: 20.0 };
-    ledger.cut(at(0), |_| Some(lower));
+    let lower = LimitShare { rate: 10.0, burst: 20.0, initial: 20.0 };
+    ledger.clamp_levels(at(0), |_| Some(lower));
     assert_eq!(ledger.receive(at(0), FIRST_HOST, &ask(0, 0), &lower, true).level, 20);
 }
 
 #[test]
 fn meter_tells_sums_and_takes_refusals_back() {
     let mut meter = LimitMeter::default();
-    let first = meter.ask(at(0), org(), 100);
+    let first = meter.request_units(at(0), org(), 100);
     assert_eq!((first.used, first.units, first.seen_level), (100, 100, None));
     let mut ledger = LimitLedger::default();
-    let tight = LimitShare { rate: 0.0, burst: 150.0, first: 150.0 };
+    let tight = LimitShare { rate: 0.0, burst: 150.0, initial: 150.0 };
     let answer = ledger.receive(at(0), FIRST_HOST, &first, &tight, true);
-    meter.hear(at(0), &answer, 100);
-    let second = meter.ask(at(0), org(), 80);
+    meter.apply_reply(at(0), &answer, 100);
+    let second = meter.request_units(at(0), org(), 80);
     assert_eq!((second.used, second.seen_level), (180, Some(50)));
     let answer = ledger.receive(at(0), FIRST_HOST, &second, &tight, true);
     assert!(answer.refused_ms.is_some());
-    meter.hear(at(0), &answer, 80);
-    meter.give_back(at(0), org(), 100);
-    assert!(meter.untold(at(100)).is_empty());
-    let told = meter.untold(at(600));
+    meter.apply_reply(at(0), &answer, 80);
+    meter.release(at(0), org(), 100);
+    assert!(meter.unsent(at(100)).is_empty());
+    let told = meter.unsent(at(600));
     assert_eq!((told.len(), told[0].used, told[0].units), (1, 0, 0));
-    assert!(meter.untold(at(2000)).is_empty());
+    assert!(meter.unsent(at(2000)).is_empty());
 }
 
 #[rstest]
@@ -234,17 +234,17 @@
 fn meter_alone_follows_the_last_owner(#[case] level: Option<i32>, #[case] tries: &[(u64, bool)]) {
     let mut meter = LimitMeter::default();
     if let Some(level) = level {
-        let ask = meter.ask(at(0), org(), 0);
-        let answer = LimitAnswer { sequence: ask.sequence, org: org(), refused_ms: None, level };
-        meter.hear(at(0), &answer, 0);
+        let ask = meter.request_units(at(0), org(), 0);
+        let answer = LimitReply { sequence: ask.sequence, org: org(), refused_ms: None, level };
+        meter.apply_reply(at(0), &answer, 0);
     }
     let mut used = 0;
     for (millis, expected) in tries {
-        meter.ask(at(*millis), org(), 300);
-        assert_eq!(meter.use_alone(at(*millis), org(), 300, &SHARE, 10), *expected);
+        meter.request_units(at(*millis), org(), 300);
+        assert_eq!(meter.use_without_owner(at(*millis), org(), 300, &SHARE, 10), *expected);
         used += if *expected { 300 } else { 0 };
     }
-    assert_eq!(meter.ask(at(9500), org(), 0).used, used);
+    assert_eq!(meter.request_units(at(9500), org(), 0).used, used);
 }
 
 fn host(incarnation: u64, domain: &str) -> MemberUpdate {
@@ -266,7 +266,7 @@
     }
     // One that does not answer is asked again later, and nobody else meanwhile.
     let other = hosts.iter().find(|own| **own != owner).expect("four of them");
-    silent.note(at(0), owner.incarnation);
+    silent.record(at(0), owner.incarnation);
     assert_eq!(choose(other, at(100), &silent), OwnerChoice::Unknown);
     assert_eq!(choose(other, at(600), &silent), OwnerChoice::Other(owner));
 }
--- a/tests/owner_terms.rs
+++ b/tests/owner_terms.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 use tealcleat::keys::{IncarnationId, NameKey, OrgKey, TimePoint};
 use tealcleat::limits::{
-    LimitAsk, LimitLedger, LimitShare, OwnerChoice, OwnerTerm, SilentOwners, choose_owner,
+    LimitLedger, LimitRequest, LimitShare, OwnerChoice, OwnerTerm, SilentOwners, choose_owner,
     has_owned,
 };
 use tealcleat::membership::{MemberState, MemberTable, MemberUpdate};
-use tealcleat::retries::{RetryAsk, RetryBounds, RetryPools, RetryShare};
+use tealcleat::retries::{RetryBounds, RetryPools, RetryRequest, RetryShare};
 
-const SHARE: LimitShare = LimitShare { rate: 1000.0, burst: 2000.0, first: 400.0 };
+const SHARE: LimitShare = LimitShare { rate: 1000.0, burst: 2000.0, initial: 400.0 };
 const OTHER_HOST: IncarnationId = IncarnationId(77);
 const SERVICE: NameKey = NameKey(1);
 /// How often an owner looks after its accounts.
@@ -25,17 +25,17 @@
     OrgKey::of("moonbook")
 }
 
-fn ask(units: u32) -> LimitAsk {
-    LimitAsk { sequence: 1, org: org(), used: i64::from(units), units, seen_level: None }
+fn ask(units: u32) -> LimitRequest {
+    LimitRequest { sequence: 1, org: org(), used: i64::from(units), units, seen_level: None }
 }
 
 /// An owner that granted all that it had, and has looked after the rest until two seconds later.
 fn busy_ledger() -> LimitLedger {
     let mut ledger = LimitLedger::default();
-    ledger.look_after(at(0), |_| true);
+    ledger.check_ownership(at(0), |_| true);
     ledger.receive(at(0), OTHER_HOST, &ask(2000), &SHARE, true);
     for millis in (250..=2000).step_by(LOOK_MS) {
-        ledger.look_after(at(millis), |_| true);
+        ledger.check_ownership(at(millis), |_| true);
     }
     ledger
 }
@@ -47,13 +47,13 @@
 fn suspended_owner_of_limits_begins_anew(#[case] looks_first: bool) {
     let mut ledger = busy_ledger();
     if looks_first {
-        ledger.look_after(at(9000), |_| true);
+        ledger.check_ownership(at(9000), |_| true);
     }
     let answer = ledger.receive(at(9010), OTHER_HOST, &ask(0), &SHARE, false);
     assert_eq!(answer.level, 400);
     let used = ledger.receive(at(9010), OTHER_HOST, &ask(400), &SHARE, false);
     assert_eq!((used.refused_ms, used.level), (None, 0), "it begins anew once");
-    let told = LimitAsk { units: 0, ..ask(400) };
+    let told = LimitRequest { units: 0, ..ask(400) };
     assert_eq!(ledger.receive(at(9010), OTHER_HOST, &told, &SHARE, false).level, 0);
     assert!(!ledger.term().lasts_for(at(9010), Duration::from_secs(8)));
 }
@@ -68,11 +68,11 @@
 fn retry_share() -> RetryShare {
     let bounds =
         RetryBounds { ratio: 0.2, slack: 80.0, window: Duration::from_secs(10), domains: 1 };
-    RetryShare::of_domain(&bounds, 4, 4)
+    RetryShare::for_domain(&bounds, 4, 4)
 }
 
 fn granted(pools: &mut RetryPools, now: TimePoint) -> usize {
-    let ask = |sequence| RetryAsk { sequence, service: SERVICE, count: 1 };
+    let ask = |sequence| RetryRequest { sequence, service: SERVICE, count: 1 };
     (0..100).filter(|sequence| pools.receive(now, &ask(*sequence), &retry_share(), false)).count()
 }
 
@@ -90,7 +90,7 @@
     granted(&mut pools, at(0));
     for millis in (0..=20_000).step_by(look_ms) {
         // In the end it is the owner again.
-        pools.look_after(at(millis), |_| is_owned || millis == 20_000);
+        pools.check_ownership(at(millis), |_| is_owned || millis == 20_000);
     }
     assert_eq!(granted(&mut pools, at(20_000)), expected);
 }
@@ -170,13 +170,13 @@
 #[test]
 fn term_of_an_owner_ends_with_a_break() {
     let mut term = OwnerTerm::default();
-    assert!(term.look(at(0)) && term.look(at(250)) && term.look(at(1000)));
+    assert!(term.renew(at(0)) && term.renew(at(250)) && term.renew(at(1000)));
     assert!(term.lasts_for(at(1000), Duration::from_secs(8)), "it has had no break");
     assert!(term.is_broken(at(1900)));
-    assert!(!term.look(at(1900)) && term.look(at(2150)));
+    assert!(!term.renew(at(1900)) && term.renew(at(2150)));
     assert!(!term.lasts_for(at(2150), Duration::from_secs(1)));
     for millis in (2400..=3000).step_by(LOOK_MS) {
-        assert!(term.look(at(millis)));
+        assert!(term.renew(at(millis)));
     }
     assert!(term.lasts_for(at(3000), Duration::from_secs(1)));
 }
--- a/tests/retry_pools.rs
+++ b/tests/retry_pools.rs
@@ -5,7 +5,7 @@
 use std::collections::HashSet;
 use std::time::Duration;
 use tealcleat::keys::{NameKey, TimePoint, mix_hash};
-use tealcleat::retries::{RetryAsk, RetryBounds, RetryPools, RetryShare, RetryWindow};
+use tealcleat::retries::{RetryBounds, RetryPools, RetryRequest, RetryShare, RetryWindow};
 
 const SERVICE: NameKey = NameKey(1);
 const WINDOW: Duration = Duration::from_secs(10);
@@ -51,12 +51,12 @@
     }
 
     fn request(&mut self, millis: u64, host: usize) {
-        self.hosts[host].note_request(at(millis), &self.bounds);
+        self.hosts[host].record_request(at(millis), &self.bounds);
     }
 
     fn repeat(&mut self, millis: u64, host: usize) {
         let hosts = self.hosts.len();
-        let own = self.hosts[host].take(at(millis), &self.bounds, hosts, 1);
+        let own = self.hosts[host].try_take(at(millis), &self.bounds, hosts, 1);
         if own || self.ask(millis, host) {
             self.granted.push(millis);
         } else {
@@ -76,9 +76,9 @@
             FleetTrouble::TwoOwners => (0, known),
             FleetTrouble::Cut => (place % 3, known.div_ceil(3)),
         };
-        let share = RetryShare::of_domain(&self.bounds, seen, known);
+        let share = RetryShare::for_domain(&self.bounds, seen, known);
         let is_settled = matches!(self.trouble, FleetTrouble::Calm | FleetTrouble::Cut);
-        let ask = RetryAsk { sequence: 0, service: SERVICE, count: 1 };
+        let ask = RetryRequest { sequence: 0, service: SERVICE, count: 1 };
         self.pools[owner * domains + domain].receive(at(millis), &ask, &share, is_settled)
     }
 
@@ -154,11 +154,11 @@
 #[test]
 fn lone_hosts_of_a_domain_share_its_pool() {
     let bounds = RetryBounds { ratio: 0.2, slack: 1_000.0, window: WINDOW, domains: 5 };
-    let share = RetryShare::of_domain(&bounds, 1, 200);
+    let share = RetryShare::for_domain(&bounds, 1, 200);
     let mut granted = 0;
     for _host in 0..200 {
         let mut pools = RetryPools::default();
-        let asks = (0..20).map(|sequence| RetryAsk { sequence, service: SERVICE, count: 1 });
+        let asks = (0..20).map(|sequence| RetryRequest { sequence, service: SERVICE, count: 1 });
         granted += asks.filter(|ask| pools.receive(at(0), ask, &share, true)).count();
     }
     assert!(granted <= 150, "{granted} repeats of the domain's 150");
@@ -168,12 +168,12 @@
 #[test]
 fn services_have_pools_of_their_own() {
     let bounds = RetryBounds { ratio: 0.2, slack: 100.0, window: WINDOW, domains: 1 };
-    let share = RetryShare::of_domain(&bounds, 4, 4);
+    let share = RetryShare::for_domain(&bounds, 4, 4);
     let mut pools = RetryPools::default();
     let mut granted = HashSet::new();
     for service in 1..=3 {
         for sequence in 0..100 {
-            let ask = RetryAsk { sequence, service: NameKey(service), count: 1 };
+            let ask = RetryRequest { sequence, service: NameKey(service), count: 1 };
             if pools.receive(at(0), &ask, &share, true) {
                 granted.insert((service, sequence));
             }
--- a/tests/retry_window.rs
+++ b/tests/retry_window.rs
@@ -15,12 +15,12 @@
 #[test]
 fn repeats_bounded_by_share_of_slack_and_ratio() {
     let mut window = RetryWindow::default();
-    let taken = (0..100).filter(|_| window.take(at(0), &bounds(), 10, 1)).count();
+    let taken = (0..100).filter(|_| window.try_take(at(0), &bounds(), 10, 1)).count();
     assert_eq!(taken, 4, "a tenth of a quarter of the slack");
     for _ in 0..100 {
-        window.note_request(at(100), &bounds());
+        window.record_request(at(100), &bounds());
     }
-    let taken = (0..100).filter(|_| window.take(at(200), &bounds(), 10, 1)).count();
+    let taken = (0..100).filter(|_| window.try_take(at(200), &bounds(), 10, 1)).count();
     assert_eq!(taken, 14, "0.2 of 100 requests with its margin of 0.7");
 }
 
@@ -36,11 +36,11 @@
         let busy = (step / 250).is_multiple_of(2);
         let host = &mut windows[(step % 10) as usize];
         if busy || step.is_multiple_of(20) {
-            host.note_request(now, &bounds());
+            host.record_request(now, &bounds());
             requests.push(step * 10);
         }
         for _ in 0..3 {
-            if host.take(now, &bounds(), 10, 1) {
+            if host.try_take(now, &bounds(), 10, 1) {
                 repeats.push(step * 10);
             }
         }
--- a/tests/server_limits.rs
+++ b/tests/server_limits.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 use std::time::Duration;
 use tealcleat::platform::{LimitNaming, read_limit};
-use tealcleat::server_limits::{LimitBook, LimitNews};
+use tealcleat::server_limits::{LimitTable, LimitUpdate};
 
 mod limit_common;
 
@@ -54,13 +54,13 @@
     assert_eq!(naming(&[]), LimitNaming::Absent);
 }
 
-fn named(book: &mut LimitBook, now: u64, sent: u64, text: &str) -> bool {
-    book.hear(at(now), at(sent), server(), limit(text)).is_some()
+fn named(book: &mut LimitTable, now: u64, sent: u64, text: &str) -> bool {
+    book.apply_answer(at(now), at(sent), server(), limit(text)).is_some()
 }
 
 /// A book that heard of a limit of 3 at 0 ms.
-fn book_of_three() -> LimitBook {
-    let mut book = LimitBook::default();
+fn book_of_three() -> LimitTable {
+    let mut book = LimitTable::default();
     assert!(named(&mut book, 0, 0, "3"));
     book
 }
@@ -71,7 +71,7 @@
     assert!(!named(&mut book, 100, 50, "3"));
     assert!(named(&mut book, 100, 50, "5"));
     assert_eq!(book.limit(server()), Some(limit("5")));
-    assert_eq!(book.news(server()).version, 2);
+    assert_eq!(book.latest(server()).version, 2);
 }
 
 /// An answer that was asked for before the last change may be older than that.
@@ -80,7 +80,8 @@
 #[case::less("1", Some("1"))]
 fn limit_in_an_older_answer(#[case] text: &str, #[case] expected: Option<&str>) {
     let mut book = book_of_three();
-    let changed = book.hear(at(200), at(0) - Duration::from_millis(1), server(), limit(text));
+    let changed =
+        book.apply_answer(at(200), at(0) - Duration::from_millis(1), server(), limit(text));
     assert_eq!(changed.is_some(), expected.is_some());
     assert_eq!(book.limit(server()), Some(limit(expected.unwrap_or("3"))));
 }
@@ -90,13 +91,13 @@
     let mut book = book_of_three();
     let mut limits = Vec::new();
     for answer in 1..=7 {
-        assert_eq!(book.note_answer(at(answer), server(), 1, false), None);
+        assert_eq!(book.record_answer(at(answer), server(), 1, false), None);
         limits.extend(book.limit(server()).map(|limit| limit.to_string()));
     }
     assert_eq!(limits, ["3", "6", "12", "24", "48", "96", "192"]);
-    assert!(book.note_answer(at(8), server(), 1, false).is_some());
+    assert!(book.record_answer(at(8), server(), 1, false).is_some());
     assert_eq!(book.limit(server()), None);
-    assert_eq!(book.news(server()).version, 2);
+    assert_eq!(book.latest(server()).version, 2);
     // An older answer does not name it again, a later one does.
     assert!(!named(&mut book, 10, 7, "3"));
     assert!(named(&mut book, 20, 8, "3"));
@@ -106,7 +107,7 @@
 fn limit_left_out_now_and_then_stands() {
     let mut book = book_of_three();
     for answer in 0..=30 {
-        assert_eq!(book.note_answer(at(answer), server(), 1, answer % 3 == 0), None);
+        assert_eq!(book.record_answer(at(answer), server(), 1, answer % 3 == 0), None);
     }
     assert_eq!(book.limit(server()), Some(limit("3")));
 }
@@ -117,24 +118,24 @@
     let mut book = book_of_three();
     assert!(named(&mut book, 10, 5, "5"));
     for answer in 0..10 {
-        assert_eq!(book.note_answer(at(20 + answer), server(), 1, false), None);
+        assert_eq!(book.record_answer(at(20 + answer), server(), 1, false), None);
     }
     assert_eq!(book.limit(server()), Some(limit("5")));
 }
 
 #[test]
 fn limit_in_doubt_lets_requests_find_out() {
-    let mut book = LimitBook::default();
+    let mut book = LimitTable::default();
     assert!(named(&mut book, 0, 0, "0.1"));
-    assert_eq!(book.note_answer(at(1), server(), 1, false), None);
+    assert_eq!(book.record_answer(at(1), server(), 1, false), None);
     assert_eq!(book.limit(server()), Some(limit("1")));
-    assert_eq!(book.note_answer(at(2), server(), 1, true), None);
+    assert_eq!(book.record_answer(at(2), server(), 1, true), None);
     assert_eq!(book.limit(server()), Some(limit("0.1")));
 }
 
 #[test]
 fn limit_of_zero_is_asked_after() {
-    let mut book = LimitBook::default();
+    let mut book = LimitTable::default();
     assert!(named(&mut book, 0, 0, "0"));
     assert_eq!(book.limit(server()), Some(limit("0.05")));
 }
@@ -146,18 +147,18 @@
 #[case::as_late_and_less(news(1, Some("1")), true)]
 #[case::as_late_and_more(news(1, Some("5")), false)]
 #[case::as_late_and_taken_back(news(1, None), false)]
-fn news_merged(#[case] heard: LimitNews, #[case] adopted: bool) {
+fn news_merged(#[case] heard: LimitUpdate, #[case] adopted: bool) {
     let mut book = book_of_three();
     assert_eq!(book.merge(at(10), &heard).is_some(), adopted);
-    assert_eq!(book.news(server()) == heard, adopted);
+    assert_eq!(book.latest(server()) == heard, adopted);
 }
 
 #[test]
 fn news_told_a_bounded_number_of_times_then_each_second() {
     let mut book = book_of_three();
-    let told = (0..9).filter(|place| !book.untold(at(place * 100)).is_empty()).count();
+    let told = (0..9).filter(|place| !book.unsent(at(place * 100)).is_empty()).count();
     assert_eq!(told, 4);
-    assert_eq!(book.untold(at(1500)).len(), 1);
+    assert_eq!(book.unsent(at(1500)).len(), 1);
 }
 
 #[test]
--- a/tests/server_owners.rs
+++ b/tests/server_owners.rs
@@ -3,8 +3,8 @@
 use rstest::rstest;
 use tealcleat::keys::IncarnationId;
 use tealcleat::server_limits::{
-    AskPurpose, CallRank, LimitAnswered, SendControl, SendDecision, SendDesk, SendTrail,
-    ServerLimit,
+    CallRank, LimitObservation, PermitDecision, PermitPurpose, SendControl, SendHistory,
+    SendLedger, ServerLimit,
 };
 
 mod limit_common;
@@ -18,7 +18,7 @@
 
 /// An owner that knows of a limit, and hosts that ask it.
 struct AskedOwner {
-    desk: SendDesk,
+    desk: SendLedger,
     host: SendControl,
     limit: ServerLimit,
 }
@@ -26,23 +26,23 @@
 impl AskedOwner {
     fn new(text: &str) -> Self {
         let mut host = SendControl::default();
-        let change = host.book.hear(at(0), at(0), server(), limit(text));
+        let change = host.limits.apply_answer(at(0), at(0), server(), limit(text));
         assert!(change.is_some());
-        Self { desk: SendDesk::default(), host, limit: limit(text) }
+        Self { desk: SendLedger::default(), host, limit: limit(text) }
     }
 
     /// The decision on a question, which the host adopts.
-    fn ask(&mut self, now: u64, rank: CallRank, purpose: AskPurpose) -> SendDecision {
-        let ask = self.host.ask(at(now), server(), rank, purpose);
+    fn ask(&mut self, now: u64, rank: CallRank, purpose: PermitPurpose) -> PermitDecision {
+        let ask = self.host.permit_request(at(now), server(), rank, purpose);
         let decision = self.desk.receive(at(now), IncarnationId(1), &ask, self.limit);
-        if purpose == AskPurpose::Send && decision == SendDecision::Granted {
-            self.host.log.note(at(now), server());
+        if purpose == PermitPurpose::Send && decision == PermitDecision::Granted {
+            self.host.log.record(at(now), server());
         }
         decision
     }
 
     fn is_granted(&mut self, now: u64, rank: CallRank) -> bool {
-        self.ask(now, rank, AskPurpose::Send) == SendDecision::Granted
+        self.ask(now, rank, PermitPurpose::Send) == PermitDecision::Granted
     }
 
     /// Requests granted of those asked for each 20 ms.
@@ -74,8 +74,8 @@
 #[test]
 fn owner_counts_what_was_sent_before() {
     let mut owner = AskedOwner::new("3.3");
-    (0..20).for_each(|place| owner.host.log.note(at(place * 50), server()));
-    owner.desk = SendDesk::default();
+    (0..20).for_each(|place| owner.host.log.record(at(place * 50), server()));
+    owner.desk = SendLedger::default();
     assert_eq!(owner.granted(1_000..1_020, USUAL), 0);
     // 20 in the window; with 3.3 a second 20.5 are the most that it may hold.
     assert_eq!(owner.granted(2_000..3_900, USUAL), 1);
@@ -87,7 +87,7 @@
 fn new_owner_goes_on_from_what_hosts_sent() {
     let mut owner = AskedOwner::new("8");
     let before = owner.granted(0..4_000, USUAL);
-    owner.desk = SendDesk::default();
+    owner.desk = SendLedger::default();
     let after = owner.granted(4_000..5_000, USUAL);
     // Four seconds of the limit, its tolerance and the five requests of slack.
     assert!(before + after <= 53, "{before} and {after}");
@@ -112,11 +112,11 @@
 fn question_asked_twice_is_granted_once() {
     let mut owner = AskedOwner::new("5");
     owner.granted(0..LEARNED_MS, USUAL);
-    let ask = owner.host.ask(at(5_000), server(), USUAL, AskPurpose::Send);
+    let ask = owner.host.permit_request(at(5_000), server(), USUAL, PermitPurpose::Send);
     let decide =
         |owner: &mut AskedOwner| owner.desk.receive(at(5_000), IncarnationId(1), &ask, limit("5"));
-    assert_eq!(decide(&mut owner), SendDecision::Granted);
-    assert_eq!(decide(&mut owner), SendDecision::Granted);
+    assert_eq!(decide(&mut owner), PermitDecision::Granted);
+    assert_eq!(decide(&mut owner), PermitDecision::Granted);
     // The bucket held two and a quarter: one is left, since none was taken twice.
     assert!(owner.is_granted(5_000, USUAL));
     assert!(!owner.is_granted(5_000, USUAL));
@@ -128,8 +128,8 @@
     owner.granted(0..LEARNED_MS, USUAL);
     assert!(owner.is_granted(2_000, USUAL));
     assert!(!owner.is_granted(2_010, USUAL));
-    owner.host.log.take_back(at(2_000), server());
-    owner.ask(2_020, USUAL, AskPurpose::GiveBack);
+    owner.host.log.undo(at(2_000), server());
+    owner.ask(2_020, USUAL, PermitPurpose::Release);
     assert!(owner.is_granted(2_030, USUAL));
 }
 
@@ -163,26 +163,26 @@
     let mut owner = AskedOwner::new("2");
     owner.granted(0..LEARNED_MS + 1_000, USUAL);
     let waits: Vec<u32> = (0..4)
-        .map(|_| match owner.ask(2_000, USUAL, AskPurpose::ComeBack) {
-            SendDecision::Refused { wait_ms } => wait_ms,
-            SendDecision::Granted => panic!("a caller that comes back is told when"),
+        .map(|_| match owner.ask(2_000, USUAL, PermitPurpose::RetryAfter) {
+            PermitDecision::Refused { wait_ms } => wait_ms,
+            PermitDecision::Granted => panic!("a caller that comes back is told when"),
         })
         .collect();
     assert!(waits[0] <= 500, "{waits:?}");
     assert!(waits.windows(2).all(|pair| pair[1] - pair[0] == 500), "{waits:?}");
-    let last = (0..60).map(|_| owner.ask(2_000, USUAL, AskPurpose::ComeBack)).last();
-    assert_eq!(last, Some(SendDecision::Refused { wait_ms: 10_000 }));
+    let last = (0..60).map(|_| owner.ask(2_000, USUAL, PermitPurpose::RetryAfter)).last();
+    assert_eq!(last, Some(PermitDecision::Refused { wait_ms: 10_000 }));
 }
 
 #[test]
 fn host_that_is_not_the_owner_grants_nothing() {
     let mut asking = AskedOwner::new("5").host;
-    let ask = asking.ask(at(5_000), server(), USUAL, AskPurpose::Send);
+    let ask = asking.permit_request(at(5_000), server(), USUAL, PermitPurpose::Send);
     let mut other = SendControl::default();
     let (reply, change) = other.receive(at(5_000), IncarnationId(1), &ask, false);
-    assert!(matches!(reply.decision, SendDecision::Refused { .. }));
+    assert!(matches!(reply.decision, PermitDecision::Refused { .. }));
     assert!(change.is_some(), "it learns of the limit");
-    assert!(!asking.hear_reply(at(5_001), &ask, Some(&reply)));
+    assert!(!asking.apply_reply(at(5_001), &ask, Some(&reply)));
     assert!(!asking.is_open(at(5_050), server(), USUAL));
     assert!(asking.is_open(at(5_150), server(), USUAL));
 }
@@ -190,8 +190,8 @@
 #[test]
 fn refusal_of_a_usual_request_leaves_the_server_open_for_urgent_ones() {
     let mut asking = AskedOwner::new("5").host;
-    let ask = asking.ask(at(5_000), server(), USUAL, AskPurpose::Send);
-    assert!(!asking.hear_reply(at(5_000), &ask, None));
+    let ask = asking.permit_request(at(5_000), server(), USUAL, PermitPurpose::Send);
+    assert!(!asking.apply_reply(at(5_000), &ask, None));
     assert!(!asking.is_open(at(5_001), server(), USUAL));
     assert!(asking.is_open(at(5_001), server(), URGENT));
 }
@@ -203,20 +203,20 @@
     let mut other = SendControl::default();
     let told = news(1, Some("5"));
     for place in 0..8 {
-        other.hear_answered(at(place), &LimitAnswered { news: told, is_named: false });
+        other.apply_observation(at(place), &LimitObservation { update: told, is_named: false });
     }
-    let ask = asking.ask(at(10), server(), USUAL, AskPurpose::Send);
+    let ask = asking.permit_request(at(10), server(), USUAL, PermitPurpose::Send);
     let (reply, _) = other.receive(at(10), IncarnationId(1), &ask, false);
-    assert_eq!(reply.decision, SendDecision::Granted);
-    assert!(asking.hear_reply(at(11), &ask, Some(&reply)));
-    assert_eq!(asking.book.limit(server()), None);
+    assert_eq!(reply.decision, PermitDecision::Granted);
+    assert!(asking.apply_reply(at(11), &ask, Some(&reply)));
+    assert_eq!(asking.limits.limit(server()), None);
 }
 
 #[test]
 fn trail_of_a_busy_server_is_bounded() {
     let mut host = AskedOwner::new("5").host;
-    (0..200_000).for_each(|place| host.log.note(at(place / 20), server()));
-    let SendTrail(points) = host.log.trail(at(10_000), server());
+    (0..200_000).for_each(|place| host.log.record(at(place / 20), server()));
+    let SendHistory(points) = host.log.history(at(10_000), server());
     assert!(points.len() <= 100, "{} points", points.len());
     let sent: u32 = points.iter().map(|point| u32::from(point.count)).sum();
     assert!(sent.abs_diff(100_000) <= 1_000, "{sent}");
--- a/tests/break_offs.rs
+++ b/tests/unconfirmed_crashes.rs
@@ -1,7 +1,7 @@
 //! Servers that broke connections off: when they count as crashed.
 
 use tealcleat::keys::{NameKey, RequestKey, ServerKey, TimePoint};
-use tealcleat::quarantine::{BreakOff, BreakOffs};
+use tealcleat::quarantine::{ConnectionLoss, UnconfirmedCrashes};
 
 const CRASHER: RequestKey = RequestKey(u64::MAX);
 
@@ -17,22 +17,22 @@
     RequestKey(number)
 }
 
-fn broken(millis: u64, request: RequestKey) -> BreakOff {
-    BreakOff { request, began_at: at(millis), broke_at: at(millis) }
+fn broken(millis: u64, request: RequestKey) -> ConnectionLoss {
+    ConnectionLoss { request, sent_at: at(millis), lost_at: at(millis) }
 }
 
 /// Servers that crashed, and which requests were there.
-fn names(crashed: &[(ServerKey, Vec<BreakOff>)]) -> Vec<(ServerKey, Vec<RequestKey>)> {
-    let requests = |broken: &[BreakOff]| broken.iter().map(|broken| broken.request).collect();
+fn names(crashed: &[(ServerKey, Vec<ConnectionLoss>)]) -> Vec<(ServerKey, Vec<RequestKey>)> {
+    let requests = |broken: &[ConnectionLoss]| broken.iter().map(|broken| broken.request).collect();
     crashed.iter().map(|(server, broken)| (*server, requests(broken))).collect()
 }
 
 #[test]
 fn server_in_doubt_crashed_when_its_entry_goes() {
-    let mut doubts = BreakOffs::default();
-    assert!(doubts.note(server(1), broken(0, CRASHER)));
-    assert!(!doubts.note(server(1), broken(1, request(1))));
-    assert!(doubts.note(server(2), broken(1, CRASHER)));
+    let mut doubts = UnconfirmedCrashes::default();
+    assert!(doubts.record_loss(server(1), broken(0, CRASHER)));
+    assert!(!doubts.record_loss(server(1), broken(1, request(1))));
+    assert!(doubts.record_loss(server(2), broken(1, CRASHER)));
     assert!(doubts.settle(at(1000), |_| false).is_empty());
     let crashed = doubts.settle(at(4000), |key| key == server(1));
     assert_eq!(names(&crashed), [(server(1), vec![CRASHER, request(1)])]);
@@ -43,10 +43,10 @@
 /// A connection lost a while ago must not hide that the server crashes now.
 #[test]
 fn server_in_doubt_asked_again_when_it_breaks_off_again() {
-    let mut doubts = BreakOffs::default();
-    assert!(doubts.note(server(1), broken(0, request(1))));
-    doubts.note_asked(server(1));
-    assert!(doubts.note(server(1), broken(5000, CRASHER)));
+    let mut doubts = UnconfirmedCrashes::default();
+    assert!(doubts.record_loss(server(1), broken(0, request(1))));
+    doubts.record_probed(server(1));
+    assert!(doubts.record_loss(server(1), broken(5000, CRASHER)));
     assert!(doubts.settle(at(9000), |_| false).is_empty());
     let crashed = doubts.settle(at(9500), |_| true);
     assert_eq!(names(&crashed), [(server(1), vec![request(1), CRASHER])]);
@@ -54,9 +54,9 @@
 
 #[test]
 fn servers_in_doubt_bounded() {
-    let mut doubts = BreakOffs::default();
+    let mut doubts = UnconfirmedCrashes::default();
     for number in 0..10_000 {
-        doubts.note(server(number), broken(0, CRASHER));
+        doubts.record_loss(server(number), broken(0, CRASHER));
     }
     assert_eq!(doubts.settle(at(1), |_| true).len(), 256);
 }
