--- a/src/organisations/caller_key.rs
+++ b/src/organisations/caller_key.rs
@@ -4,24 +4,24 @@
 
 const DIGEST_BYTES: usize = 16;
 
-/// Separates these digests from whatever else is made with the hosts' shared key.
+/// Domain separation from other hashes made with the hosts' shared key.
 const PURPOSE: &[u8] = b"caller-key";
 
-/// Stands for a caller's key wherever it is kept, compared or handed to another host.
+/// Digest of a caller's key, used wherever a key is stored, compared or sent to another host.
 ///
-/// A key itself is read from a request or the configuration and hashed at once: no state, message, log
-/// or metric holds one. Sixteen bytes of a keyed hash collide for none of 2^40 keys in practice.
+/// A key is read from a request or the configuration and hashed at once: no state, message, log or
+/// metric contains it. With sixteen bytes of a keyed hash, 2^40 keys do not collide in practice.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl std::fmt::Debug for KeyDigest {
-    /// Also a digest is worth guessing at for somebody who knows the shared key.
+    /// Hides the digest, since somebody who knows the shared key could use it to guess the key.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("KeyDigest(..)")
     }
 }
 
-/// Makes digests of callers' keys, the same on all hosts that share a key.
+/// Computes digests of callers' keys; hosts that share a key compute the same ones.
 #[derive(Clone)]
 pub struct KeyHasher(KeyedHash);
 
@@ -32,14 +32,14 @@
 }
 
 impl KeyHasher {
-    /// A hasher for hosts that share `shared_key`.
+    /// Creates a hasher for hosts that share `shared_key`.
     pub fn new(shared_key: &str) -> Self {
         let mut hash = keyed_hash(shared_key);
         hash.update(PURPOSE);
         Self(hash)
     }
 
-    /// The digest of a caller's key.
+    /// Computes the digest of a caller's key.
     pub fn digest(&self, caller_key: &str) -> KeyDigest {
         let mut hash = self.0.clone();
         hash.update(caller_key.as_bytes());
--- a/src/organisations/config_age.rs
+++ b/src/organisations/config_age.rs
@@ -3,85 +3,85 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Questions that may still be answered; older ones are forgotten. At two a second and up to three hosts
-/// asked at a time these are the last second and more, longer than an answer is of use.
-const OPEN_QUESTIONS: usize = 8;
+/// Number of pending requests kept; older ones are dropped. With two requests a second to up to three
+/// hosts at a time, they cover more than the last second, which is longer than a reply is useful.
+const MAX_PENDING: usize = 8;
 
-/// Asks another host how old its knowledge of the newest configuration is.
+/// Asks another host for the age of its configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgeRequest {
-    /// Pairs the answer with it.
+    /// Matches the reply to the request.
     pub sequence: u32,
 }
 
-/// Answers it.
+/// Reply to an [`AgeRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgeReply {
-    /// Sequence of the question.
+    /// Sequence of the request.
     pub sequence: u32,
-    /// Version of the answering host's configuration.
+    /// Version of the replying host's configuration.
     pub version: u64,
-    /// That lacks no change acknowledged more than this many milliseconds before the answer left.
+    /// Age of that configuration in milliseconds: it contains all changes acknowledged longer than this before the
+    /// reply was sent.
     pub age_ms: u32,
 }
 
-/// Until when the configuration in force is known to lack no change.
+/// Tracks up to which time the configuration in force is known to be complete.
 ///
-/// Only an answer to a question of this host's own proves anything, and only up to the moment at which
-/// the question left: the answer was made after that. An age that arrives unasked may have lain in a
-/// buffer while this host was suspended, and would be believed to be young.
+/// Only a reply to this host's own request is evidence, and only up to the time at which the request was
+/// sent, since the reply was made later. An unsolicited age may have stayed in a buffer while this host
+/// was suspended, and would be taken for a recent one.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigAge {
     complete_at: Option<TimePoint>,
     sequence: u32,
-    open: VecDeque<(u32, TimePoint)>,
+    pending: VecDeque<(u32, TimePoint)>,
 }
 
 impl ConfigAge {
-    /// Changes younger than this may be missing in the configuration in force.
+    /// Age of the configuration in force: only changes younger than this may be missing in it.
     pub fn age(&self, now: TimePoint) -> Duration {
         self.complete_at.map_or(Duration::MAX, |at| now.since(at))
     }
 
-    /// The configuration in force lacks no change acknowledged before `at`. A newer one that replaces
-    /// it lacks none of them either.
+    /// Records that the configuration in force contains all changes acknowledged before `at`. This also
+    /// holds for newer configurations that replace it.
     pub fn record_complete(&mut self, at: TimePoint) {
         self.complete_at = self.complete_at.max(Some(at));
     }
 
-    /// A question that leaves now.
+    /// Creates a request that is sent now.
     pub fn next_request(&mut self, now: TimePoint) -> AgeRequest {
         self.sequence = self.sequence.wrapping_add(1);
-        if self.open.len() == OPEN_QUESTIONS {
-            self.open.pop_front();
+        if self.pending.len() == MAX_PENDING {
+            self.pending.pop_front();
         }
-        self.open.push_back((self.sequence, now));
+        self.pending.push_back((self.sequence, now));
         AgeRequest { sequence: self.sequence }
     }
 
-    /// What this host answers to a question, with the configuration `version` in force; nothing if it
-    /// does not know its age.
-    pub fn reply(&self, now: TimePoint, question: AgeRequest, version: u64) -> Option<AgeReply> {
+    /// The reply to a request, with the configuration `version` in force; `None` if its age is unknown.
+    pub fn reply(&self, now: TimePoint, request: AgeRequest, version: u64) -> Option<AgeReply> {
         let age = now.since(self.complete_at?);
-        // Rounded up: a millisecond too old is safe.
+        // Rounds up, since an age that is a millisecond too high is safe.
         let age_ms = u32::try_from(age.as_millis() + 1).ok()?;
-        Some(AgeReply { sequence: question.sequence, version, age_ms })
+        Some(AgeReply { sequence: request.sequence, version, age_ms })
     }
 
-    /// Takes over an answer, with the configuration `version` in force. One that speaks of a newer
-    /// configuration says nothing of this one.
-    pub fn apply_reply(&mut self, answer: AgeReply, version: u64) {
-        let place = self.open.iter().position(|(sequence, _)| *sequence == answer.sequence);
-        let Some((_, asked_at)) = place.and_then(|place| self.open.remove(place)) else {
+    /// Applies a reply, with the configuration `version` in force. A reply about a newer configuration
+    /// says nothing about this one and is ignored.
+    pub fn apply_reply(&mut self, reply: AgeReply, version: u64) {
+        let index = self.pending.iter().position(|(sequence, _)| *sequence == reply.sequence);
+        let Some((_, sent_at)) = index.and_then(|index| self.pending.remove(index)) else {
             return;
         };
-        if answer.version <= version {
-            self.record_complete(asked_at - Duration::from_millis(answer.age_ms.into()));
+        if reply.version <= version {
+            self.record_complete(sent_at - Duration::from_millis(reply.age_ms.into()));
         }
     }
 
-    /// Whether the last question has waited for its answer for at least `limit`.
+    /// Whether the last request has been pending for at least `limit`.
     pub fn has_unanswered_request(&self, now: TimePoint, limit: Duration) -> bool {
-        self.open.back().is_some_and(|(_, asked_at)| now.since(*asked_at) >= limit)
+        self.pending.back().is_some_and(|(_, sent_at)| now.since(*sent_at) >= limit)
     }
 }
--- a/src/organisations/mod.rs
+++ b/src/organisations/mod.rs
@@ -1,8 +1,8 @@
-//! Organisations tells who may call: whose key a request carries, and whether the configuration that
-//! says so is known to be recent enough to rely on.
+//! Organisations and the authentication of their callers: which organisation holds the key of a request,
+//! and whether the configuration is recent enough to rely on.
 //!
-//! Inputs are the configuration in force, the moment at which it was last known to be the newest one,
-//! and the key of a request; the output is an organisation, or why the request must not run.
+//! Inputs are the configuration in force, the time at which it was last known to be the newest one,
+//! and the key of a request; the output is an organisation, or the reason why the request must not run.
 
 mod caller_key;
 mod caller_permission;
--- a/src/organisations/org_directory.rs
+++ b/src/organisations/org_directory.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The organisations of one configuration, by the keys of their callers.
+/// The organisations of one configuration, indexed by their callers' keys.
 #[derive(Debug, Clone, Default)]
 pub struct OrgDirectory {
     by_key: HashMap<KeyDigest, Arc<Organisation>>,
@@ -14,15 +14,15 @@
 impl TryFrom<&[Arc<Organisation>]> for OrgDirectory {
     type Error = Error;
 
-    /// Fails if a name stands twice, or if two organisations have a key in common: nobody could tell
-    /// which of them a caller belongs to.
+    /// Fails if two organisations have the same name or a key in common, since the organisation of a
+    /// caller would be ambiguous.
     fn try_from(organisations: &[Arc<Organisation>]) -> Result<Self> {
         let mut directory = Self::default();
         for organisation in organisations {
             let name = &organisation.name;
-            let twin = directory.by_name.insert(organisation.key(), Arc::clone(organisation));
-            if twin.is_some() {
-                return Err(Error::Protocol(format!("organisation {name:?} stands twice")));
+            let duplicate = directory.by_name.insert(organisation.key(), Arc::clone(organisation));
+            if duplicate.is_some() {
+                return Err(Error::Protocol(format!("duplicate organisation {name:?}")));
             }
             for digest in &organisation.keys {
                 let holder = directory.by_key.insert(*digest, Arc::clone(organisation));
@@ -43,12 +43,12 @@
         self.by_name.is_empty()
     }
 
-    /// The organisation that a key belongs to.
+    /// The organisation that holds a caller's key.
     pub fn holder(&self, digest: KeyDigest) -> Option<&Arc<Organisation>> {
         self.by_key.get(&digest)
     }
 
-    /// An organisation by its own key.
+    /// An organisation by the key of its name.
     pub fn organisation(&self, key: OrgKey) -> Option<&Arc<Organisation>> {
         self.by_name.get(&key)
     }
--- a/src/organisations/organisation.rs
+++ b/src/organisations/organisation.rs
@@ -2,31 +2,31 @@
 use crate::keys::OrgKey;
 use serde::{Deserialize, Serialize};
 
-/// What an organisation's limit counts.
+/// Unit of an organisation's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LimitUnit {
     /// Each request counts as one.
     Requests,
-    /// A generation counts as the tokens of its prompt and the most that it may answer.
+    /// A generation counts as the tokens of its prompt plus its maximum number of output tokens.
     Tokens {
-        /// What a request without such a size counts.
+        /// Tokens counted for a request without these numbers.
         plain: u32,
     },
 }
 
-/// How much an organisation may use over all hosts together.
+/// Limit on an organisation's usage over all hosts together.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct OrgLimit {
-    /// Units a second.
+    /// Units added per second.
     pub rate: f64,
-    /// Units beyond that at one time.
+    /// Units that may be used at once beyond the rate.
     pub burst: f64,
-    /// What a unit is.
+    /// Unit of the limit.
     pub unit: LimitUnit,
 }
 
 impl OrgLimit {
-    /// What a request counts that states `tokens` of its prompt and most answer, if it states any.
+    /// Units of a request; `tokens` are those of its prompt and its maximum output, if it states them.
     pub fn cost(&self, tokens: Option<u32>) -> u32 {
         match self.unit {
             LimitUnit::Requests => 1,
@@ -35,21 +35,21 @@
     }
 }
 
-/// A partner or customer whose callers prove themselves with keys.
+/// A partner or customer whose callers authenticate themselves with keys.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Organisation {
-    /// Its name, as backend servers are told it.
+    /// Name of the organisation, as sent to backend servers.
     pub name: String,
-    /// How urgent its requests are; zero goes first, before the priority of routes.
+    /// Priority of its requests; zero is the highest. It takes precedence over the priority of routes.
     pub priority: u8,
     /// Digests of the keys of its callers.
     pub keys: Vec<KeyDigest>,
-    /// Its limit, if it has one.
+    /// Usage limit, if any.
     pub limit: Option<OrgLimit>,
 }
 
 impl Organisation {
-    /// Its key in this system.
+    /// Key made from the organisation's name.
     pub fn key(&self) -> OrgKey {
         OrgKey::of(&self.name)
     }
--- a/src/routes/mod.rs
+++ b/src/routes/mod.rs
@@ -1,4 +1,4 @@
-//! Routes tell which service a request belongs to and what its callers were promised.
+//! Routes: which service handles a request and which limits and objectives apply to it.
 
 mod request_limits;
 mod route;
--- a/src/routes/request_limits.rs
+++ b/src/routes/request_limits.rs
@@ -1,21 +1,21 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Bounds on what a caller may send, set by the operator.
+/// Limits on callers' requests, set by the operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestLimits {
-    /// Most bytes of a request head.
+    /// Maximum size of a request head in bytes.
     pub head_bytes: usize,
-    /// Most bytes of a request body.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// Longest time that a request head may take to arrive.
+    /// Maximum time for a request head to arrive.
     pub head_time: Duration,
-    /// Longest time that a caller's connection may rest between requests.
+    /// Maximum time that a caller's connection may be idle between requests.
     pub idle_time: Duration,
 }
 
 impl Default for RequestLimits {
-    /// In force until a configuration names its own.
+    /// The limits in force until a configuration sets its own.
     fn default() -> Self {
         Self {
             head_bytes: 16 << 10,
--- a/src/routes/route.rs
+++ b/src/routes/route.rs
@@ -3,52 +3,52 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What may be repeated on a route.
+/// Whether requests of a route may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
     /// A request may run more than once.
     Safe,
     /// A request runs at most once.
     Unsafe,
-    /// Answers are event streams; at most once unless the route is resumable.
+    /// Answers are event streams; a request runs at most once unless the route is resumable.
     Streaming,
 }
 
-/// A service that a route sends a part of its requests to.
+/// A service that receives a share of a route's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteTarget {
-    /// The service.
+    /// Key of the service.
     pub service: ServiceKey,
-    /// Its part, relative to the weights of the route's other targets.
+    /// Share of the requests, relative to the weights of the route's other targets.
     pub weight: u32,
 }
 
 /// One route of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name, for logs and metrics.
+    /// Name of the route in logs and metrics.
     pub name: String,
-    /// Host name that callers ask for.
+    /// Host name in the requests.
     pub host: String,
-    /// Beginning of the paths that belong to it; starts and ends with a slash.
+    /// Prefix of the paths that belong to the route; starts and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be retried.
     pub kind: RouteKind,
-    /// How urgent its requests are; zero goes first.
+    /// Priority of the requests; zero is the highest.
     pub priority: u8,
-    /// Longest time that a request may be held before its final answer.
+    /// Maximum time from a request to its final answer.
     pub time_limit: Duration,
-    /// Time within which an answer (of a stream, its first event) is in time.
+    /// Target time to the answer, or to the first event of a stream.
     pub objective: Duration,
-    /// Longest pause between two events of a stream that is still in time; zero if none is set.
+    /// Target for the longest pause between two events of a stream; zero if none is set.
     pub longest_pause: Duration,
-    /// Most backend servers that one request may be sent to.
+    /// Maximum number of backend servers that one request is sent to.
     pub max_servers: u32,
-    /// A stream may continue on another server after its last event.
+    /// Whether an interrupted stream may continue on another server after its last event.
     pub resumable: bool,
-    /// Its callers need no key of an organisation.
+    /// Whether callers need no key of an organisation.
     pub is_public: bool,
-    /// Where the requests go; never empty.
+    /// Services that handle the requests; never empty.
     pub targets: Vec<RouteTarget>,
 }
 
@@ -58,7 +58,7 @@
         self.kind == RouteKind::Safe || (self.kind == RouteKind::Streaming && self.resumable)
     }
 
-    /// The service that runs the request `id`; the same on every host.
+    /// The service that handles the request `id`; every host chooses the same one.
     pub fn service_for(&self, id: &str) -> ServiceKey {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
         let mut point = stable_hash(id.as_bytes()) % total.max(1);
--- a/src/routes/route_table.rs
+++ b/src/routes/route_table.rs
@@ -5,32 +5,32 @@
 use std::collections::HashMap;
 use std::sync::{Arc, OnceLock};
 
-/// A table of fewer routes is sent whole: a digest would save little.
-const LEAST_ROUTES: usize = 64;
+/// Tables with fewer routes are sent whole, since a digest would save little.
+const MIN_DIGEST_ROUTES: usize = 64;
 
-/// One version of the configuration, as hosts hand it to each other.
+/// One version of the configuration, as hosts exchange it.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct RouteParts {
-    /// Its version; zero before the first configuration.
+    /// Version of the configuration; zero before the first one.
     pub version: u64,
-    /// Bounds on requests.
+    /// Limits on requests.
     pub limits: RequestLimits,
     /// All routes.
     pub routes: Vec<Arc<Route>>,
     /// All services.
     pub services: Vec<Arc<ServiceSpec>>,
-    /// All organisations; callers need no keys if there are none.
+    /// All organisations; if there are none, callers need no keys.
     pub organisations: Vec<Arc<Organisation>>,
 }
 
-/// One version of the configuration, ready to be looked up; versions only rise.
+/// One version of the configuration, indexed for lookups; versions only increase.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTable {
     parts: RouteParts,
     by_host: HashMap<String, Vec<Arc<Route>>>,
     by_key: HashMap<ServiceKey, Arc<ServiceSpec>>,
     organisations: OrgDirectory,
-    /// Of each route, in their order; made when they are first asked for.
+    /// Hashes of the routes in their order, computed on first use.
     hashes: OnceLock<Vec<RouteHash>>,
 }
 
@@ -55,17 +55,17 @@
 }
 
 impl RouteTable {
-    /// Its version; zero before the first configuration.
+    /// Version of the configuration; zero before the first one.
     pub fn version(&self) -> u64 {
         self.parts.version
     }
 
-    /// Bounds on requests.
+    /// Limits on requests.
     pub fn limits(&self) -> RequestLimits {
         self.parts.limits
     }
 
-    /// What another host needs to have the same table.
+    /// The parts from which another host can build the same table.
     pub fn parts(&self) -> &RouteParts {
         &self.parts
     }
@@ -76,9 +76,9 @@
             .get_or_init(|| self.parts.routes.iter().map(|route| RouteHash::of(route)).collect())
     }
 
-    /// What tells another host which routes this table has; nothing if it has few, which are sent whole.
+    /// Digest of this table's routes for another host; `None` for a small table, which is sent whole.
     pub fn digest(&self) -> Option<TableDigest> {
-        (self.parts.routes.len() >= LEAST_ROUTES).then(|| TableDigest::of(self.route_hashes()))
+        (self.parts.routes.len() >= MIN_DIGEST_ROUTES).then(|| TableDigest::of(self.route_hashes()))
     }
 
     /// The route with the longest prefix of `path` among those of `host`.
@@ -93,7 +93,7 @@
         self.by_key.get(&key)
     }
 
-    /// The organisations.
+    /// Directory of the organisations.
     pub fn organisations(&self) -> &OrgDirectory {
         &self.organisations
     }
--- a/src/routes/route_update.rs
+++ b/src/routes/route_update.rs
@@ -4,12 +4,12 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A configuration as one host tells it to another: all of it, but for routes that the other one has.
+/// A configuration as one host sends it to another: everything except the routes that the other host already has.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RouteUpdate {
-    /// Its version.
+    /// Version of the configuration.
     pub version: u64,
-    /// Revision of the store at which it was written.
+    /// Store revision at which the configuration was written.
     pub revision: u64,
     limits: RequestLimits,
     routes: SentRoutes,
@@ -24,7 +24,8 @@
 }
 
 impl RouteUpdate {
-    /// What a host needs to have `table`, written at `revision`, that has a table with the digest `known`, if it said so.
+    /// The update to `table`, written at `revision`, for a host whose table has the digest `known`; contains all routes
+    /// without a digest.
     pub fn of(table: &RouteTable, revision: u64, known: Option<&TableDigest>) -> Self {
         let parts = table.parts().clone();
         let changed =
@@ -39,7 +40,7 @@
         }
     }
 
-    /// How many routes it tells.
+    /// Number of routes included.
     pub fn route_count(&self) -> usize {
         match &self.routes {
             SentRoutes::All(routes) => routes.len(),
@@ -47,10 +48,10 @@
         }
     }
 
-    /// The configuration that it tells, for a host that had `known` as it asked.
+    /// The updated configuration of a host that had the table `known` when it sent its request.
     ///
     /// # Errors
-    /// If it does not fit `known`, or is no proper configuration.
+    /// If the update does not apply to `known`, or if the result is not a valid configuration.
     pub fn apply_to(self, known: &RouteTable) -> Result<RouteTable> {
         let routes = match self.routes {
             SentRoutes::All(routes) => Some(routes),
@@ -59,7 +60,7 @@
             }
         };
         let routes = routes.ok_or_else(|| {
-            Error::Protocol("changes of routes do not fit the known ones".to_owned())
+            Error::Protocol("route changes do not apply to the known routes".to_owned())
         })?;
         RouteTable::try_from(RouteParts {
             version: self.version,
--- a/src/routes/table_digest.rs
+++ b/src/routes/table_digest.rs
@@ -4,12 +4,12 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-/// Routes in a bucket on average: one changed route costs the transfer of so many.
+/// Average number of routes in a bucket; one changed route causes the transfer of its whole bucket.
 const BUCKET_ROUTES: usize = 8;
-/// Most buckets; their hashes are 4 KB.
-const MOST_BUCKETS: usize = 512;
+/// Maximum number of buckets; their hashes take 4 KB.
+const MAX_BUCKETS: usize = 512;
 
-/// The hashes of a route's name and of all that it says.
+/// Hashes of a route's name and of its whole contents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouteHash {
     name: u64,
@@ -17,9 +17,9 @@
 }
 
 impl RouteHash {
-    /// The hashes of `route`, the same on every host.
+    /// Computes the hashes of `route`; they are the same on every host.
     pub fn of(route: &Route) -> Self {
-        // What cannot be encoded cannot be sent either; then no hash is the right one.
+        // A route that cannot be encoded cannot be sent either, so its hash does not matter.
         let encoded = bincode::serde::encode_to_vec(route, bincode::config::standard());
         let contents = encoded.map_or(0, |bytes| stable_hash(&bytes));
         Self { name: stable_hash(route.name.as_bytes()), contents }
@@ -30,17 +30,17 @@
     }
 }
 
-/// What a host tells of the routes that it has, so that another one can send just those that differ: a hash for each
-/// bucket of routes. Neither needs to know which versions the other one has seen.
+/// Digest of a host's routes with one hash for each bucket of routes, from which another host determines the buckets that
+/// differ. Neither host needs to know which versions the other one has seen.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableDigest {
     buckets: Vec<u64>,
 }
 
 impl TableDigest {
-    /// The digest of routes with these hashes.
+    /// Computes the digest of routes with these hashes.
     pub fn of(hashes: &[RouteHash]) -> Self {
-        let count = (hashes.len() / BUCKET_ROUTES).next_power_of_two().min(MOST_BUCKETS);
+        let count = (hashes.len() / BUCKET_ROUTES).next_power_of_two().min(MAX_BUCKETS);
         Self::with_buckets(hashes, count)
     }
 
@@ -53,52 +53,53 @@
         Self { buckets }
     }
 
-    /// What a host with this digest lacks of `routes`, which have `hashes`; nothing if the digest is of no table.
+    /// The changes that a host with this digest needs to have `routes`, whose hashes are `hashes`; `None` if the digest is
+    /// not valid.
     pub fn missing_changes(
         &self,
         routes: &[Arc<Route>],
         hashes: &[RouteHash],
     ) -> Option<RouteChanges> {
         let count = self.buckets.len();
-        if count == 0 || count > MOST_BUCKETS {
+        if count == 0 || count > MAX_BUCKETS {
             return None;
         }
         let own = Self::with_buckets(hashes, count);
-        let differs = |place: &usize| own.buckets[*place] != self.buckets[*place];
+        let differs = |index: &usize| own.buckets[*index] != self.buckets[*index];
         let changed: Vec<usize> = (0..count).filter(differs).collect();
-        let told = routes.iter().zip(hashes);
-        let told = told.filter(|(_, hash)| differs(&hash.bucket(count)));
+        let sent = routes.iter().zip(hashes);
+        let sent = sent.filter(|(_, hash)| differs(&hash.bucket(count)));
         Some(RouteChanges {
             bucket_count: count as u32,
-            buckets: changed.iter().map(|place| *place as u32).collect(),
-            routes: told.map(|(route, _)| Arc::clone(route)).collect(),
+            buckets: changed.iter().map(|index| *index as u32).collect(),
+            routes: sent.map(|(route, _)| Arc::clone(route)).collect(),
             total: table_hash(hashes),
         })
     }
 }
 
-/// The buckets in which two tables differ, as one of them has them.
+/// The buckets in which two tables differ, with the routes that one of the tables has in them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteChanges {
     bucket_count: u32,
     buckets: Vec<u32>,
     routes: Vec<Arc<Route>>,
-    /// Hash of the whole table that results.
+    /// Hash of the whole resulting table.
     total: u64,
 }
 
 impl RouteChanges {
-    /// How many routes it tells.
+    /// Number of routes included.
     pub fn len(&self) -> usize {
         self.routes.len()
     }
 
-    /// Whether it tells no route; some may be gone.
+    /// Whether no route is included; routes may still be removed.
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
 
-    /// The routes that result from `routes`, which have `hashes`; nothing if they are not those of the told table.
+    /// Applies the changes to `routes`, whose hashes are `hashes`; `None` if the result differs from the sender's table.
     pub fn apply_to(self, routes: &[Arc<Route>], hashes: &[RouteHash]) -> Option<Vec<Arc<Route>>> {
         let count = self.bucket_count as usize;
         if count == 0 {
