--- a/src/gateway/limit_answers.rs
+++ b/src/gateway/limit_answers.rs
@@ -31,16 +31,16 @@
         if let Some(change) = change {
             self.announce_limit_change(&change, "answer");
         }
-        if let Some(answered) = report {
-            self.send_limit_answered(&answered);
+        if let Some(observation) = report {
+            self.send_observation(&observation);
         }
     }
 
-    fn send_limit_answered(&self, answered: &LimitObservation) {
-        match self.send_owner(answered.update.server) {
-            OwnerChoice::Own => self.receive_limit_answered(answered),
+    fn send_observation(&self, observation: &LimitObservation) {
+        match self.send_owner(observation.update.server) {
+            OwnerChoice::Own => self.receive_limit_observation(observation),
             OwnerChoice::Other(owner) => {
-                self.send(owner.address, &GatewayDatagram::LimitObservation(*answered));
+                self.send(owner.address, &GatewayDatagram::LimitObservation(*observation));
             }
             // A host that knows no owner sends nothing to the server; the next answer reports its limit again.
             OwnerChoice::Unknown => {}
@@ -49,9 +49,9 @@
 
     /// Handles the report of a limited server's answer to this host, or to another one that takes this one for the
     /// server's owner.
-    pub(super) fn receive_limit_answered(&self, answered: &LimitObservation) {
+    pub(super) fn receive_limit_observation(&self, observation: &LimitObservation) {
         let now = self.now();
-        let changes = self.state().sends.apply_observation(now, answered);
+        let changes = self.state().sends.apply_observation(now, observation);
         for change in changes {
             self.announce_limit_change(&change, "owner");
         }
--- a/src/gateway/limit_charge.rs
+++ b/src/gateway/limit_charge.rs
@@ -1,4 +1,4 @@
-//! Asks the owners of organisations' parts for what requests cost, and answers as one of them.
+//! Charges requests to their organisations: requests grants from the owners of limits, and grants them as an owner.
 
 use super::call_context::CallContext;
 use super::call_end::{CallEnd, NotRunReason};
@@ -9,7 +9,6 @@
 use crate::keys::{IncarnationId, NameKey, OrgKey, TimePoint};
 use crate::limits::{
     LimitLoan, LimitReply, LimitRequest, LimitShare, LoanRequest, OwnerChoice, choose_owner,
-    has_owned,
 };
 use crate::membership::{MemberState, MemberUpdate};
 use std::collections::HashSet;
@@ -17,12 +16,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A host younger than this asks again while it finds no owner: after a loss of all hosts owners have no
-/// configuration yet. Of what hosts took alone then, an organisation at its limit had 0.7 s of its rate.
+/// A host younger than this retries while it finds no owner, because owners have no configuration yet after a loss of
+/// all hosts. Without this, hosts that decided alone granted an organisation at its limit 0.7 s of its rate.
 const YOUNG_AGE: Duration = Duration::from_millis(1200);
-const YOUNG_PAUSE: Duration = Duration::from_millis(40);
-/// How often owners are told of use that no question told them, and accounts that this host owns are looked after.
-const TELL_LOOK: Duration = Duration::from_millis(250);
+const YOUNG_RETRY_PAUSE: Duration = Duration::from_millis(40);
+/// How often use that no request reported is reported to owners, and accounts that are not this host's are discarded.
+const REPORT_PERIOD: Duration = Duration::from_millis(250);
 
 /// What a request costs its organisation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -37,30 +36,25 @@
     id: &str,
     charge: LimitCharge,
 ) -> Result<(), CallEnd> {
-    match host.ask_owner(id, charge).await {
-        OwnerReply::Granted => Ok(()),
-        OwnerReply::Refused(pause) => {
+    let (org, units) = (charge.org.0, charge.units);
+    match host.request_grant(id, charge).await {
+        OwnerDecision::Granted => Ok(()),
+        OwnerDecision::Refused(pause) => {
+            let pause_ms = pause.as_millis();
             log::info!(
-                "event=over_limit request={id} org={:016x} units={} come_back_ms={}",
-                charge.org.0,
-                charge.units,
-                pause.as_millis()
+                "event=over_limit request={id} org={org:016x} units={units} come_back_ms={pause_ms}"
             );
             Err(CallEnd::OverLimit(pause))
         }
-        OwnerReply::Unknown => {
-            log::info!(
-                "event=limit_unknown request={id} org={:016x} units={}",
-                charge.org.0,
-                charge.units
-            );
+        OwnerDecision::Unknown => {
+            log::info!("event=limit_unknown request={id} org={org:016x} units={units}");
             Err(refuse(NotRunReason::LimitUnknown))
         }
     }
 }
 
 impl CallContext {
-    /// The request did not run: what it cost is given back.
+    /// Refunds the charge of a request that did not run.
     pub fn refund_charge(&self) {
         let Some(charge) = self.charge else { return };
         let now = self.host.now();
@@ -68,32 +62,30 @@
     }
 }
 
-/// What an owner says to a request.
+/// An owner's decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum OwnerReply {
+enum OwnerDecision {
     Granted,
-    /// It is over the limit; when it may come back.
+    /// The request is over the limit; it may be retried after this pause.
     Refused(Duration),
-    /// No owner can be reached, and this host's own part is used up.
+    /// No owner can be reached, and this host's own share is used up.
     Unknown,
 }
 
 impl GatewayHost {
-    async fn ask_owner(self: &Arc<Self>, id: &str, charge: LimitCharge) -> OwnerReply {
-        let ask = {
-            let now = self.now();
-            self.state().meter.request_units(now, charge.org, charge.units)
-        };
-        let mut answer = self.ask_once(&ask).await;
-        while answer.is_none() && self.is_young() {
-            tokio::time::sleep(YOUNG_PAUSE).await;
-            answer = self.ask_once(&ask).await;
+    async fn request_grant(self: &Arc<Self>, id: &str, charge: LimitCharge) -> OwnerDecision {
+        let asked_at = self.now();
+        let request = self.state().meter.request_units(asked_at, charge.org, charge.units);
+        let mut reply = self.query_owner(&request).await;
+        while reply.is_none() && self.is_young() {
+            tokio::time::sleep(YOUNG_RETRY_PAUSE).await;
+            reply = self.query_owner(&request).await;
         }
         let now = self.now();
         let mut state = self.state();
-        let Some(answer) = answer else {
+        let Some(reply) = reply else {
             let Some(share) = state.whole_share(charge.org) else {
-                return OwnerReply::Granted;
+                return OwnerDecision::Granted;
             };
             let (_, hosts) = state.count_domain_hosts(self.domain());
             let allowed =
@@ -102,69 +94,74 @@
             log::info!(
                 "event=limit_alone request={id} org={org:016x} units={units} allowed={allowed}"
             );
-            return if allowed { OwnerReply::Granted } else { OwnerReply::Unknown };
+            return if allowed { OwnerDecision::Granted } else { OwnerDecision::Unknown };
         };
-        state.meter.apply_reply(now, &answer, charge.units);
-        match answer.refused_ms {
-            None => OwnerReply::Granted,
-            Some(millis) => OwnerReply::Refused(Duration::from_millis(millis.into())),
+        state.meter.apply_reply(now, &reply, charge.units);
+        match reply.refused_ms {
+            None => OwnerDecision::Granted,
+            Some(millis) => OwnerDecision::Refused(Duration::from_millis(millis.into())),
         }
     }
 
-    /// Hosts that start together find each other within some hundred milliseconds.
+    /// Whether this host has just started: hosts that start together find each other within a few hundred milliseconds.
     fn is_young(&self) -> bool {
         self.now().since(TimePoint::default()) < YOUNG_AGE
     }
 
-    async fn ask_once(&self, ask: &LimitRequest) -> Option<LimitReply> {
+    async fn query_owner(&self, request: &LimitRequest) -> Option<LimitReply> {
         let now = self.now();
-        let owner = self.state().owner(now, ask.org, self.domain());
+        let owner = self.state().owner(now, request.org, self.domain());
         match owner {
-            OwnerChoice::Own => self.grant(now, self.incarnation, ask),
-            OwnerChoice::Other(owner) => self.ask_other(owner, ask).await,
+            OwnerChoice::Own => self.grant(now, self.incarnation, request),
+            OwnerChoice::Other(owner) => self.query_host(owner, request).await,
             OwnerChoice::Unknown => None,
         }
     }
 
-    async fn ask_other(&self, owner: MemberUpdate, ask: &LimitRequest) -> Option<LimitReply> {
-        let question = GatewayDatagram::LimitRequest(self.incarnation, *ask);
-        let answer = self.ask_twice(&self.limit_waits, ask.sequence, owner, &question).await;
-        if answer.is_none() {
-            let (owner, org) = (owner.incarnation, ask.org.0);
+    async fn query_host(&self, owner: MemberUpdate, request: &LimitRequest) -> Option<LimitReply> {
+        let datagram = GatewayDatagram::LimitRequest(self.incarnation, *request);
+        let reply = self.ask_twice(&self.limit_waits, request.sequence, owner, &datagram).await;
+        if reply.is_none() {
+            let (owner, org) = (owner.incarnation, request.org.0);
             log::info!("event=limit_owner_silent owner={owner} org={org:016x}");
         }
-        answer
+        reply
     }
 
-    /// Grants or refuses as the owner; nothing if the organisation has no limit here.
-    fn grant(&self, now: TimePoint, from: IncarnationId, ask: &LimitRequest) -> Option<LimitReply> {
-        let (answer, share, is_short) = {
+    /// Grants or refuses as the owner; `None` if the organisation has no limit here.
+    fn grant(
+        &self,
+        now: TimePoint,
+        from: IncarnationId,
+        request: &LimitRequest,
+    ) -> Option<LimitReply> {
+        let (reply, share, is_short) = {
             let mut state = self.state();
-            let is_owner = state.owner(now, ask.org, self.domain()) == OwnerChoice::Own;
-            let mut share = state.domain_share(ask.org, self.domain())?;
+            let is_owner = state.owner(now, request.org, self.domain()) == OwnerChoice::Own;
+            let mut share = state.domain_share(request.org, self.domain())?;
             if !is_owner {
-                // The host that asks believes in another owner than this one does, and perhaps it alone: this one may go
-                // on from what the last owner had left, and has nothing to begin with.
+                // The requesting host, perhaps alone, takes this one for the owner, which this one does not: it may
+                // continue from what the last owner had left, but starts with nothing of its own.
                 share.initial = 0.0;
             }
-            let is_new = !state.ledger.has_account(ask.org);
+            let is_new = !state.ledger.has_account(request.org);
             let window = state.bounds.limits.window;
             let is_settled = is_owner
                 && state.members.is_settled(now, window)
                 && state.ledger.term().lasts_for(now, window);
-            let answer = state.ledger.receive(now, from, ask, &share, is_settled);
+            let reply = state.ledger.receive(now, from, request, &share, is_settled);
             if is_new {
-                log_account(ask, &share, &answer, is_owner, is_settled);
+                log_account(request, &share, &reply, is_owner, is_settled);
             }
-            (answer, share, state.ledger.wants_loan(now, ask.org, &share))
+            (reply, share, state.ledger.wants_loan(now, request.org, &share))
         };
         if is_short {
-            self.ask_loans(now, ask.org, &share);
+            self.request_loans(now, request.org, &share);
         }
-        Some(answer)
+        Some(reply)
     }
 
-    fn ask_loans(&self, now: TimePoint, org: OrgKey, share: &LimitShare) {
+    fn request_loans(&self, now: TimePoint, org: OrgKey, share: &LimitShare) {
         let lenders = self.other_owners(now, org);
         let loans = self.state().ledger.request_loans(now, org, share, lenders.len());
         for (owner, loan) in lenders.iter().zip(loans) {
@@ -172,20 +169,20 @@
         }
     }
 
-    /// Answers another host's question as the owner.
+    /// Handles another host's request as the owner.
     pub(super) fn receive_limit_request(
         &self,
         from: SocketAddr,
         host: IncarnationId,
-        ask: &LimitRequest,
+        request: &LimitRequest,
     ) {
-        let Some(answer) = self.grant(self.now(), host, ask) else { return };
-        if ask.sequence != 0 {
-            self.send(from, &GatewayDatagram::LimitReply(answer));
+        let Some(reply) = self.grant(self.now(), host, request) else { return };
+        if request.sequence != 0 {
+            self.send(from, &GatewayDatagram::LimitReply(reply));
         }
     }
 
-    /// Owners of an organisation's part in the other failure domains.
+    /// The owners of an organisation's limit in the other failure domains.
     fn other_owners(&self, now: TimePoint, org: OrgKey) -> Vec<MemberUpdate> {
         let state = self.state();
         let domains: HashSet<NameKey> =
@@ -200,20 +197,20 @@
             .collect()
     }
 
-    /// Lends to the owner of another failure domain.
-    pub(super) fn receive_loan_request(&self, from: SocketAddr, ask: &LoanRequest) {
+    /// Lends to the owner of the limit in another failure domain.
+    pub(super) fn receive_loan_request(&self, from: SocketAddr, request: &LoanRequest) {
         let now = self.now();
         let loan = {
             let mut state = self.state();
-            let Some(share) = state.domain_share(ask.org, self.domain()) else { return };
-            state.ledger.lend(now, ask, &share)
+            let Some(share) = state.domain_share(request.org, self.domain()) else { return };
+            state.ledger.lend(now, request, &share)
         };
         if let Some(loan) = loan {
             self.send(from, &GatewayDatagram::LimitLoan(loan));
         }
     }
 
-    /// Takes over a loan.
+    /// Applies a loan.
     pub(super) fn receive_loan(&self, loan: &LimitLoan) {
         let now = self.now();
         let mut state = self.state();
@@ -221,7 +218,7 @@
         state.ledger.accept_loan(now, loan, &share);
     }
 
-    /// Forgets what this host granted for organisations, and of repeats, of which it was not the owner all the time.
+    /// Discards what this host granted of limits and of retries of which it was not the owner all the time.
     fn discard_unowned_accounts(&self) {
         let (now, domain) = (self.now(), self.domain());
         let mut state = self.state();
@@ -235,15 +232,16 @@
         state.retry_pools = pools;
     }
 
-    fn tell_use(&self) {
+    fn report_use(&self) {
         let now = self.now();
-        let untold = self.state().meter.unsent(now);
-        for ask in untold {
-            let owner = self.state().owner(now, ask.org, self.domain());
+        let unreported = self.state().meter.unsent(now);
+        for request in unreported {
+            let owner = self.state().owner(now, request.org, self.domain());
             match owner {
-                OwnerChoice::Own => drop(self.grant(now, self.incarnation, &ask)),
+                OwnerChoice::Own => drop(self.grant(now, self.incarnation, &request)),
                 OwnerChoice::Other(owner) => {
-                    self.send(owner.address, &GatewayDatagram::LimitRequest(self.incarnation, ask));
+                    let datagram = GatewayDatagram::LimitRequest(self.incarnation, request);
+                    self.send(owner.address, &datagram);
                 }
                 OwnerChoice::Unknown => {}
             }
@@ -251,76 +249,71 @@
     }
 }
 
-/// The line that tells what a new owner began with, and from where.
+/// Logs the balance that a new owner starts with, and where it comes from.
 fn log_account(
-    ask: &LimitRequest,
+    request: &LimitRequest,
     share: &LimitShare,
-    answer: &LimitReply,
+    reply: &LimitReply,
     is_owner: bool,
     is_settled: bool,
 ) {
-    let seen = ask.seen_level.is_some();
+    let (org, units, seen) = (request.org.0, request.units, request.seen_level.is_some());
+    let (rate, burst, left) = (share.rate, share.burst, reply.level);
     log::info!(
-        "event=limit_owned org={:016x} rate={:.0} burst={:.0} seen={seen} owner={is_owner} \
-         settled={is_settled} units={} left={}",
-        ask.org.0,
-        share.rate,
-        share.burst,
-        ask.units,
-        answer.level
+        "event=limit_owned org={org:016x} rate={rate:.0} burst={burst:.0} seen={seen} \
+         owner={is_owner} settled={is_settled} units={units} left={left}"
     );
 }
 
-/// Tells owners of use that they do not know of: given back, or taken while they were silent. Looks after the accounts of
-/// which this host is the owner.
+/// Reports to owners the use that they do not know of (refunded, or granted while they were silent), and discards the
+/// accounts of which this host is not the owner.
 pub(super) async fn run_limit_charges(host: Arc<GatewayHost>) {
-    let mut ticker = tokio::time::interval(TELL_LOOK);
+    let mut ticker = tokio::time::interval(REPORT_PERIOD);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticker.tick().await;
         host.discard_unowned_accounts();
-        host.tell_use();
+        host.report_use();
     }
 }
 
 impl GatewayState {
-    /// Who owns an organisation's part in a failure domain.
+    /// The owner of an organisation's limit in a failure domain.
     fn owner(&self, now: TimePoint, org: OrgKey, domain: NameKey) -> OwnerChoice {
         let hosts = self.members.owners(domain).map(|(_, host)| host);
         let is_alone = self.members.is_alone();
         choose_owner(now, org, self.members.own().incarnation, is_alone, hosts, &self.silent)
     }
 
-    /// Whether this host is the owner of a failure domain's part of something, and has been ever since a moment.
+    /// Whether this host owns a failure domain's share of a limit or retry pool, without a break since `since`.
     pub(super) fn has_owned_share(
         &self,
         now: TimePoint,
-        thing: NameKey,
+        key: NameKey,
         domain: NameKey,
         since: TimePoint,
     ) -> bool {
         let own = self.members.own().incarnation;
         let others = self.members.records().filter(|record| record.update.domain == domain);
-        self.owner(now, thing, domain) == OwnerChoice::Own
+        self.owner(now, key, domain) == OwnerChoice::Own
             && !self.members.was_declared_dead(since)
-            && has_owned(thing, own, others, since)
+            && crate::limits::has_owned(key, own, others, since)
     }
 
-    /// What this host may hand out as the owner of an organisation's part: of the part of its failure
-    /// domain as much as the hosts that it sees there are of all that it ever saw there. The others may be
-    /// cut off, and have the rest.
+    /// What this host may grant as an owner: of its failure domain's share, the fraction that the hosts it sees there are
+    /// of all that it ever saw there. The others may be partitioned from it, and grant the rest.
     fn domain_share(&self, org: OrgKey, domain: NameKey) -> Option<LimitShare> {
         let (seen, known) = self.count_domain_hosts(domain);
         Some(self.whole_share(org)?.scaled(seen, known))
     }
 
-    /// A failure domain's whole part of an organisation's limit.
+    /// A failure domain's whole share of an organisation's limit.
     fn whole_share(&self, org: OrgKey) -> Option<LimitShare> {
         let limit = self.routes.organisations().organisation(org)?.limit?;
         Some(LimitShare::for_domain(&limit, &self.bounds.limits))
     }
 
-    /// Hosts of a failure domain that are there, and all that this one ever heard of, itself included.
+    /// Counts the hosts of a failure domain that are not dead, and all that this one ever knew of, itself included.
     pub(super) fn count_domain_hosts(&self, domain: NameKey) -> (usize, usize) {
         let (mut seen, mut known) = (HashSet::new(), HashSet::new());
         for host in self.members.all().filter(|host| host.domain == domain) {
@@ -332,7 +325,7 @@
         (seen.len(), known.len())
     }
 
-    /// A changed configuration may lower limits.
+    /// Applies the limits of a changed configuration, which may be lower.
     pub(super) fn lower_limits(&mut self, now: TimePoint) {
         let (routes, bounds) = (Arc::clone(&self.routes), self.bounds.limits);
         self.ledger.clamp_levels(now, |org| {
--- a/src/gateway/peer_loop.rs
+++ b/src/gateway/peer_loop.rs
@@ -55,11 +55,11 @@
             Ok(GatewayDatagram::Crashes(report)) => host.hear_crashes(&report),
             Ok(GatewayDatagram::ServerLimits(news)) => host.receive_server_limits(&news),
             Ok(GatewayDatagram::PermitRequest(from, ask)) => {
-                host.receive_send_request(address, from, &ask)
+                host.receive_permit_request(address, from, &ask)
             }
             Ok(GatewayDatagram::PermitReply(reply)) => host.send_waits.end(reply.sequence, reply),
             Ok(GatewayDatagram::LimitObservation(answered)) => {
-                host.receive_limit_answered(&answered)
+                host.receive_limit_observation(&answered)
             }
             Ok(GatewayDatagram::RetryRequest(ask)) => host.receive_retry_request(address, &ask),
             Ok(GatewayDatagram::RetryReply(reply)) => host.retry_waits.end(reply.sequence, reply),
--- a/src/gateway/send_owner.rs
+++ b/src/gateway/send_owner.rs
@@ -17,7 +17,7 @@
 impl GatewayHost {
     /// Requests a grant to send a request of `rank` to a limited server. Returns the time at which the request counts
     /// as sent, if it may be sent.
-    pub(super) async fn request_send(
+    pub(super) async fn request_permit(
         &self,
         id: &str,
         server: ServerKey,
@@ -66,7 +66,7 @@
         let now = self.now();
         let request = self.state().sends.permit_request(now, server, rank, purpose);
         match self.send_owner(server) {
-            OwnerChoice::Own => drop(self.decide_send(self.incarnation, &request)),
+            OwnerChoice::Own => drop(self.decide_permit(self.incarnation, &request)),
             OwnerChoice::Other(owner) => {
                 self.send(
                     owner.address,
@@ -79,7 +79,7 @@
 
     async fn query_send_owner(&self, request: &PermitRequest) -> Option<PermitReply> {
         match self.send_owner(request.update.server) {
-            OwnerChoice::Own => Some(self.decide_send(self.incarnation, request)),
+            OwnerChoice::Own => Some(self.decide_permit(self.incarnation, request)),
             OwnerChoice::Other(owner) => {
                 let datagram = GatewayDatagram::PermitRequest(self.incarnation, request.clone());
                 self.ask_twice(&self.send_waits, request.sequence, owner, &datagram).await
@@ -89,19 +89,19 @@
     }
 
     /// Handles a request of another host.
-    pub(super) fn receive_send_request(
+    pub(super) fn receive_permit_request(
         &self,
         from: SocketAddr,
         host: IncarnationId,
         request: &PermitRequest,
     ) {
-        let reply = self.decide_send(host, request);
+        let reply = self.decide_permit(host, request);
         if request.purpose.wants_reply() {
             self.send(from, &GatewayDatagram::PermitReply(reply));
         }
     }
 
-    fn decide_send(&self, from: IncarnationId, request: &PermitRequest) -> PermitReply {
+    fn decide_permit(&self, from: IncarnationId, request: &PermitRequest) -> PermitReply {
         let now = self.now();
         let (reply, change) = {
             let mut state = self.state();
--- a/src/gateway/send_permit.rs
+++ b/src/gateway/send_permit.rs
@@ -87,7 +87,7 @@
             is_limited
         };
         let counted_at =
-            if is_limited { host.request_send(self.id(), key, self.rank).await? } else { now };
+            if is_limited { host.request_permit(self.id(), key, self.rank).await? } else { now };
         Some(SendPermit {
             host: Arc::clone(host),
             server: key,
