--- a/src/gateway/event_relay.rs
+++ b/src/gateway/event_relay.rs
@@ -212,7 +212,7 @@
     context: &CallContext,
     reader: &mut super::event_reader::EventReader,
 ) -> Result<Option<StreamEvent>> {
-    if !context.route.is_repeatable() {
+    if !context.route.is_retryable() {
         return reader.next().await;
     }
     let next = tokio::time::timeout(SILENCE_TIMEOUT, reader.next()).await;
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -64,7 +64,7 @@
             AttemptEnd::Unknown(cause) => {
                 record.sent += 1;
                 record.may_have_run = true;
-                if !context.route.is_repeatable() {
+                if !context.route.is_retryable() {
                     return CallEnd::Unknown(cause);
                 }
             }
@@ -73,7 +73,7 @@
                 record.may_have_run = true;
             }
         }
-        if record.may_have_run && !context.route.is_repeatable() {
+        if record.may_have_run && !context.route.is_retryable() {
             break;
         }
     }
@@ -150,7 +150,7 @@
     let load = ServerLoad { requests: 1, ..ServerLoad::default() };
     let _load = LoadGuard::new(&context.host, server.key(), load);
     context.host.note_server(server, ServerEvent::Sent);
-    let repeatable = context.route.is_repeatable();
+    let repeatable = context.route.is_retryable();
     let may_retry = repeatable && record.sent + 1 < context.route.max_servers;
     let silence_timeout = context.route.objective * SILENCE_OBJECTIVES;
     let timeout =
@@ -175,7 +175,7 @@
     server: &ServerEntry,
     permit: &mut SendPermit,
 ) -> Result<AttemptEnd> {
-    let max_idle = if context.route.is_repeatable() { Duration::MAX } else { FRESH_CONNECTION_AGE };
+    let max_idle = if context.route.is_retryable() { Duration::MAX } else { FRESH_CONNECTION_AGE };
     let (purpose, left) = (CallPurpose::Plain, context.time_left());
     let part = CallPart::Whole;
     let response = send_request(context, server, purpose, left, part, max_idle, permit).await?;
--- a/src/gateway/run_open.rs
+++ b/src/gateway/run_open.rs
@@ -92,7 +92,7 @@
 /// Whether a run that failed may be retried: the route and the retry budget must allow it. Reading the
 /// prompt again and running again count as one retry each.
 pub(super) async fn may_retry_run(context: &CallContext, runs: &RunRecord) -> bool {
-    context.route.is_repeatable()
+    context.route.is_retryable()
         && runs.sent < context.route.max_servers
         && !context.time_left().is_zero()
         && context.host.take_retries(context.service, 2).await
--- a/src/gateway/run_start.rs
+++ b/src/gateway/run_start.rs
@@ -62,7 +62,7 @@
 ) -> Result<RunStart, OpenFailure> {
     runs.sent += 1;
     context.host.note_server(server, ServerEvent::Sent);
-    let may_retry = context.route.is_repeatable() && runs.sent < context.route.max_servers;
+    let may_retry = context.route.is_retryable() && runs.sent < context.route.max_servers;
     let timeout =
         if may_retry { FIRST_EVENT_TIMEOUT.min(context.time_left()) } else { context.time_left() };
     let started =
--- a/src/routes/route.rs
+++ b/src/routes/route.rs
@@ -54,7 +54,7 @@
 
 impl Route {
     /// Whether a request may run more than once.
-    pub fn is_repeatable(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         self.kind == RouteKind::Safe || (self.kind == RouteKind::Streaming && self.resumable)
     }
 
