--- a/tests/gateway_calls.rs
+++ b/tests/gateway_calls.rs
@@ -1,5 +1,5 @@
-//! Requests through a real daemon on the platform's stand-ins: what runs, how often, and what the
-//! caller is told.
+//! Requests through a real daemon on simulated platform servers: what runs, how often, and what the
+//! caller is answered.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn stream_held_prefilled_and_whole() {
+fn stream_held_prefilled_and_complete() {
     runtime().block_on(async {
         let site = TestSite::start(SitePlan::default()).await.expect("it starts");
         let reply = call_first_host(&site, &call("POST", "stream", "r1")).await;
@@ -104,9 +104,9 @@
     });
 }
 
-/// Incident inc-f409: a resumable stream was broken off because no server had room at once.
+/// Guards against cutting a resumable stream when no server has memory at that moment.
 #[test]
-fn cut_stream_waits_for_room_to_resume() {
+fn cut_stream_waits_for_memory_to_resume() {
     runtime().block_on(async {
         let site = Arc::new(TestSite::start(SitePlan::default()).await.expect("it starts"));
         site.decodes[0].set_fault(EngineFault::StallAfter(3));
@@ -120,7 +120,7 @@
         while !ran() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        // The stream falls silent and finds no room elsewhere; then there is some.
+        // The stream falls silent and no other server has memory for it; then one has.
         let lost = || engine_runs(&site, "r1").iter().any(|run| run.cancelled);
         while !lost() {
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn failed_run_not_repeated() {
+fn failed_run_not_retried() {
     runtime().block_on(async {
         let site = TestSite::start(SitePlan::default()).await.expect("it starts");
         for engine in &site.decodes {
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn lost_answer_of_a_safe_call_repeated_elsewhere() {
+fn lost_answer_of_a_safe_call_retried_elsewhere() {
     runtime().block_on(async {
         let site = TestSite::start(SitePlan::default()).await.expect("it starts");
         site.services[0].set_fault(ServiceFault::LoseAnswers);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn unrun_call_refused_truly() {
+fn unrun_call_refused() {
     runtime().block_on(async {
         let site = TestSite::start(SitePlan::default()).await.expect("it starts");
         for service in &site.services {
--- a/tests/gateway_engines.rs
+++ b/tests/gateway_engines.rs
@@ -1,4 +1,4 @@
-//! Which engines a real daemon on the platform's stand-ins turns to while they leave, change their
+//! Which engines a real daemon on simulated platform servers selects while engines drain, change their
 //! stage or have long queues.
 
 use rstest::rstest;
@@ -11,22 +11,22 @@
 
 use site_common::{call, call_first_host, engine_runs, runtime, wait_released};
 
-/// Bench: halvorsen-book trouble-1 seed 1 (DRAIN). A prefill server did not answer for 1.2 s; the
-/// next one had begun to leave meanwhile and was asked all the same.
+/// Guards against sending a prompt to a draining server: a prefill server did not answer for 1.2 s, and
+/// the next one had started draining meanwhile but received the prompt all the same.
 #[rstest]
 #[case::prefill_servers("prefill")]
 #[case::decode_servers("decode")]
-fn server_that_left_during_a_slow_read_gets_nothing(#[case] leaving: &str) {
+fn server_draining_since_a_slow_read_gets_nothing(#[case] draining: &str) {
     runtime().block_on(async {
         let site = TestSite::start(SitePlan::default()).await.expect("a site");
         for engine in &site.prefills {
             engine.set_fault(EngineFault::Silent);
         }
         let slow = call("POST", "stream", "slow");
-        let asked = call_first_host(&site, &slow);
-        let leave = async {
+        let answer = call_first_host(&site, &slow);
+        let drain = async {
             tokio::time::sleep(Duration::from_millis(150)).await;
-            for server in site.servers.iter().filter(|server| server.stage == Some(leaving)) {
+            for server in site.servers.iter().filter(|server| server.stage == Some(draining)) {
                 let (id, service, address) = (&server.id, server.service, server.address);
                 site.state_server(id, service, address, server.stage, "draining");
             }
@@ -34,24 +34,24 @@
                 engine.set_fault(EngineFault::None);
             }
         };
-        let (reply, ()) = tokio::join!(asked, leave);
+        let (reply, ()) = tokio::join!(answer, drain);
         assert_eq!(reply.status, 503);
-        let reached = engine_runs(&site, "slow").into_iter().filter(|run| run.stage == leaving);
+        let reached = engine_runs(&site, "slow").into_iter().filter(|run| run.stage == draining);
         assert_eq!(reached.count(), 0);
         wait_released(&site).await;
     });
 }
 
-/// Bench: halvorsen-book inc-45b4. All hosts were restarted while an engine changed its stage; with
-/// its empty queue it was the first choice for 28 prompts. Holds are granted all the same.
+/// All hosts were restarted while an engine was changing its stage. Because of its empty queue it was the
+/// first choice for 28 prompts, which it rejected. Such an engine still grants holds.
 #[test]
-fn changing_engines_found_out_by_one_request() {
+fn changing_engines_detected_by_one_request() {
     runtime().block_on(async {
         let site = TestSite::start(SitePlan::default()).await.expect("a site");
         site.prefills[0].set_fault(EngineFault::Changing);
         site.decodes[0].set_fault(EngineFault::Changing);
         {
-            // The others are loaded, so that an error or two do not matter.
+            // The other engines are loaded, so that an error or two do not change the ranking.
             let mut state = site.hosts[0].host.state();
             let queue = ServerLoad { prompt_tokens: 24_000, ..ServerLoad::default() };
             state.board.add(ServerKey::of("i-prefill-1"), queue);
@@ -61,15 +61,15 @@
         for number in 0..12 {
             call_first_host(&site, &call("POST", "stream", &format!("n{number}"))).await;
         }
-        // A run is sent twice to its server: the first refusal may have been the prompt's.
+        // A rejected run is sent to its server twice, since the first rejection may be due to the prefill result.
         assert!(site.prefills[0].turned_away() <= 1, "{}", site.prefills[0].turned_away());
         assert!(site.decodes[0].turned_away() <= 2, "{}", site.decodes[0].turned_away());
         wait_released(&site).await;
     });
 }
 
-/// The decode server holds memory for the request already: where the answer of a prefill server is lost, it
-/// reads the prompt itself, and no other prefill server reads it for nothing.
+/// The decode server already holds memory for the request: if the answer of a prefill server is lost, it reads
+/// the prompt itself, and no other prefill server reads it in vain.
 #[test]
 fn prompt_with_a_lost_answer_read_by_its_decode_server() {
     runtime().block_on(async {
@@ -86,8 +86,8 @@
     });
 }
 
-/// Soak, seed 406: the first run fell silent, there was no room for a second one, and the caller was
-/// told that its request had not run.
+/// Guards against a false refusal: the first run fell silent, no server had memory for a second one, and
+/// the caller was told that its request had not run.
 #[test]
 fn silent_run_never_refused_as_not_run() {
     runtime().block_on(async {
--- a/tests/gateway_input.rs
+++ b/tests/gateway_input.rs
@@ -1,4 +1,4 @@
-//! Malformed input of callers: the right status at once, and nothing reaches a backend server.
+//! Malformed input from callers is answered with the right status at once and never reaches a backend server.
 
 use rstest::rstest;
 use std::io::{Read, Write};
@@ -6,12 +6,12 @@
 use std::time::Duration;
 use tealcleat::bench::site::{SitePlan, TestSite};
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Sends bytes on a connection of their own and returns the first line of the answer.
+/// Sends bytes on a new connection and returns the first line of the answer.
 fn first_line(site: &TestSite, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(site.hosts[0].callers).expect("it accepts");
-    stream.set_read_timeout(Some(PATIENCE)).expect("it can be set");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("it can be set");
     stream.write_all(bytes).expect("it reads");
     let mut answer = Vec::new();
     let mut buffer = [0; 1024];
@@ -66,10 +66,10 @@
     assert_eq!(line, "HTTP/1.1 431 Request Header Fields Too Large");
 }
 
-/// With two lengths the chunked one counts (RFC 9112, 6.3), and what follows is a request of its
-/// own: a request hidden in a body never reaches a backend server under another's name.
+/// Guards against request smuggling: a request hidden in the body of another one never reaches a backend server as a
+/// request. (Of two body lengths the chunked one would count: RFC 9112, 6.3.)
 #[test]
-fn hidden_request_never_merged() {
+fn hidden_request_never_forwarded() {
     let runtime =
         tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     let runtime = runtime.expect("a runtime");
--- a/tests/gateway_keys.rs
+++ b/tests/gateway_keys.rs
@@ -1,5 +1,5 @@
-//! Keys and limits through real daemons: who is let in, what backend servers are told, and what is
-//! refused.
+//! Keys and limits through real daemons: which callers are authorized, what backend servers receive, and
+//! what is refused.
 
 use rstest::rstest;
 use std::time::Duration;
@@ -42,7 +42,7 @@
 #[case::plain("once")]
 #[case::stream("stream")]
 #[case::resumed("resume")]
-fn servers_are_told_the_organisation_and_no_key(#[case] route: &'static str) {
+fn servers_receive_the_organisation_and_no_key(#[case] route: &'static str) {
     runtime().block_on(async {
         let site = keyed_site(1).await;
         if route == "resume" {
@@ -65,7 +65,7 @@
 #[case::public_none("safe", None, 200)]
 #[case::public_wrong("safe", Some("key-of-nobody"), 200)]
 #[case::known("once", Some(MOONBOOK), 200)]
-fn caller_let_in_by_key(#[case] route: &str, #[case] key: Option<&str>, #[case] status: u16) {
+fn caller_authorized_by_key(#[case] route: &str, #[case] key: Option<&str>, #[case] status: u16) {
     runtime().block_on(async {
         let site = keyed_site(1).await;
         let call = match key {
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn two_keys_at_once_are_none() {
+fn two_keys_at_once_rejected() {
     runtime().block_on(async {
         let site = keyed_site(1).await;
         let mut call = keyed_call("GET", "once", "r1", HANBIT);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn key_taken_away_and_added() {
+fn key_revoked_and_added() {
     runtime().block_on(async {
         let site = keyed_site(2).await;
         let mut config = keyed_config(3);
@@ -111,10 +111,10 @@
     });
 }
 
-/// The store answers nobody any more: when a key may have been taken away longer ago than the bound, no
-/// request with a key is let in, and the platform is told to send callers elsewhere. Public routes go on.
+/// The store stops answering. Once a key may have been revoked longer ago than the bound allows, no request with
+/// a key is accepted, and readiness fails, so that the platform routes callers elsewhere. Public routes keep working.
 #[test]
-fn keys_not_believed_without_the_store() {
+fn keys_refused_without_the_store() {
     runtime().block_on(async {
         let site = keyed_site(2).await;
         site.store.set_fault(StoreFault::Silent);
@@ -136,7 +136,7 @@
 }
 
 /// An owner that has just started grants a tenth of the tolerance, 209 tokens, and 10 a second: a request of 196
-/// goes, and what comes after it is refused, on either host, with the moment at which the limit allows it.
+/// is accepted, and later ones are refused on either host, with the time after which the limit allows them.
 #[test]
 fn limit_holds_over_all_hosts() {
     runtime().block_on(async {
@@ -166,7 +166,7 @@
         for place in 0..3 {
             let call = keyed_call("POST", "stream", &format!("full-{place}"), MOONBOOK);
             assert_eq!(call_first_host(&site, &call).await.status.as_u16(), 503);
-            // What was given back is told within half a second.
+            // Refunds are reported to the owner within half a second.
             tokio::time::sleep(Duration::from_millis(800)).await;
         }
         for engine in &site.decodes {
--- a/tests/limited_calls.rs
+++ b/tests/limited_calls.rs
@@ -1,5 +1,5 @@
-//! Requests through real daemons before servers that name a limit: who takes over, what callers are told, and which
-//! answers name one.
+//! Requests through real daemons to servers that state a limit: which servers take over, what callers are answered, and
+//! which answers can state a limit.
 
 use rstest::rstest;
 use std::time::Duration;
@@ -11,8 +11,8 @@
 
 use site_common::{call, call_first_host, engine_runs, runtime, wait_released};
 
-const LOOK: Duration = Duration::from_millis(5);
-/// One request in twenty seconds: longer than a case takes.
+const POLL_PERIOD: Duration = Duration::from_millis(5);
+/// One request in twenty seconds, which is longer than a test case takes.
 const LOW_LIMIT: f64 = 0.05;
 
 async fn site_of(plan: SitePlan) -> TestSite {
@@ -20,7 +20,7 @@
 }
 
 /// Sends requests one after the other and returns their statuses.
-async fn ask_many(site: &TestSite, route: &str, name: &str, count: usize) -> Vec<u16> {
+async fn call_many(site: &TestSite, route: &str, name: &str, count: usize) -> Vec<u16> {
     let mut statuses = Vec::new();
     for serial in 0..count {
         let reply = call_first_host(site, &call("POST", route, &format!("{name}-{serial}"))).await;
@@ -29,7 +29,7 @@
     statuses
 }
 
-/// Sends requests until a host knows of a limit.
+/// Sends requests until the first host knows a limit.
 async fn until_limited(site: &TestSite, route: &str) {
     let mut serial = 0;
     while site.hosts[0].host.state().sends.limits.limited().next().is_none() {
@@ -38,7 +38,7 @@
     }
 }
 
-fn comes_back_in(reply: &CallerReply) -> f64 {
+fn retry_delay(reply: &CallerReply) -> f64 {
     reply.header("retry-after").parse().expect("seconds")
 }
 
@@ -49,20 +49,20 @@
         site.services[0].arrivals.set(LimitSpeech::of(LOW_LIMIT));
         until_limited(&site, "once").await;
         let before = site.services[0].arrivals.count();
-        assert_eq!(ask_many(&site, "once", "r", 40).await, vec![200; 40]);
+        assert_eq!(call_many(&site, "once", "r", 40).await, vec![200; 40]);
         assert!(site.services[0].arrivals.count() - before <= 2);
     });
 }
 
 #[test]
-fn nobody_has_room_so_callers_hear_at_once_when_to_come_back() {
+fn all_servers_at_limit_refuse_at_once_with_retry_delay() {
     runtime().block_on(async {
         let site = site_of(SitePlan::default()).await;
         for service in &site.services {
             service.arrivals.set(LimitSpeech::of(LOW_LIMIT));
         }
         until_limited(&site, "once").await;
-        let mut told = Vec::new();
+        let mut delays = Vec::new();
         for serial in 0..12 {
             let id = format!("r-{serial}");
             let reply = call_first_host(&site, &call("POST", "once", &id)).await;
@@ -71,28 +71,28 @@
             }
             assert_eq!(reply.status.as_u16(), 503);
             let runs = site.services.iter().flat_map(|service| service.runs());
-            assert_eq!(runs.filter(|run| *run == id).count(), 0, "what was refused did not run");
-            told.push(comes_back_in(&reply));
+            assert_eq!(runs.filter(|run| *run == id).count(), 0, "a refused request did not run");
+            delays.push(retry_delay(&reply));
         }
-        assert!(told.len() >= 8, "{told:?}");
-        assert!(told.iter().all(|seconds| *seconds > 0.0 && *seconds <= 10.0), "{told:?}");
-        assert!(told.iter().copied().fold(0.0, f64::max) > 2.0, "{told:?}");
+        assert!(delays.len() >= 8, "{delays:?}");
+        assert!(delays.iter().all(|seconds| *seconds > 0.0 && *seconds <= 10.0), "{delays:?}");
+        assert!(delays.iter().copied().fold(0.0, f64::max) > 2.0, "{delays:?}");
     });
 }
 
 #[test]
-fn streams_go_to_engines_with_room_or_are_refused_with_nothing_held() {
+fn streams_go_to_engines_below_limit_or_are_refused_with_nothing_held() {
     runtime().block_on(async {
         let site = site_of(SitePlan::default()).await;
         site.decodes[0].arrivals.set(LimitSpeech::of(LOW_LIMIT));
         until_limited(&site, "stream").await;
-        assert_eq!(ask_many(&site, "stream", "r", 8).await, vec![200; 8]);
+        assert_eq!(call_many(&site, "stream", "r", 8).await, vec![200; 8]);
         site.decodes[1].arrivals.set(LimitSpeech::of(LOW_LIMIT));
-        let statuses = ask_many(&site, "stream", "s", 8).await;
+        let statuses = call_many(&site, "stream", "s", 8).await;
         assert!(statuses.iter().filter(|status| **status == 503).count() >= 5, "{statuses:?}");
         let reply = call_first_host(&site, &call("POST", "stream", "last")).await;
         if reply.status.as_u16() == 503 {
-            assert!(comes_back_in(&reply) > 0.0);
+            assert!(retry_delay(&reply) > 0.0);
             assert_eq!(engine_runs(&site, "last").len(), 0);
         }
         wait_released(&site).await;
@@ -106,7 +106,7 @@
         site.prefills[0].arrivals.set(LimitSpeech::of(LOW_LIMIT));
         until_limited(&site, "stream").await;
         let before = site.prefills[0].arrivals.count();
-        assert_eq!(ask_many(&site, "stream", "r", 12).await, vec![200; 12]);
+        assert_eq!(call_many(&site, "stream", "r", 12).await, vec![200; 12]);
         assert!(site.prefills[0].arrivals.count() - before <= 2);
     });
 }
@@ -122,32 +122,32 @@
         let site = site_of(SitePlan { services: 1, ..SitePlan::default() }).await;
         let values = vec![value.to_owned()];
         site.services[0].arrivals.set(LimitSpeech { values, ..LimitSpeech::default() });
-        assert_eq!(ask_many(&site, "once", "r", 20).await, vec![200; 20]);
+        assert_eq!(call_many(&site, "once", "r", 20).await, vec![200; 20]);
         assert_eq!(site.hosts[0].host.state().sends.limits.limited().count(), 0);
     });
 }
 
-/// Neither a limit nor its end is believed of an answer that is another call's.
+/// Neither a limit nor its end is accepted from an answer that belongs to another call.
 #[test]
-fn limit_in_an_answer_of_another_is_ignored() {
+fn limit_in_foreign_answer_is_ignored() {
     runtime().block_on(async {
         let site = site_of(SitePlan { services: 1, ..SitePlan::default() }).await;
         let service = &site.services[0];
         service.set_fault(ServiceFault::ForeignAnswer);
         service.arrivals.set(LimitSpeech::of(LOW_LIMIT));
-        assert_eq!(ask_many(&site, "safe", "f", 3).await, vec![502; 3]);
+        assert_eq!(call_many(&site, "safe", "f", 3).await, vec![502; 3]);
         assert_eq!(site.hosts[0].host.state().sends.limits.limited().count(), 0);
         service.set_fault(ServiceFault::None);
         until_limited(&site, "once").await;
         service.set_fault(ServiceFault::ForeignAnswer);
         service.arrivals.set(LimitSpeech::default());
-        ask_many(&site, "safe", "g", 3).await;
+        call_many(&site, "safe", "g", 3).await;
         assert_eq!(site.hosts[0].host.state().sends.limits.limited().count(), 1);
     });
 }
 
 #[test]
-fn turned_away_requests_name_the_limit_too() {
+fn rejections_state_the_limit_too() {
     runtime().block_on(async {
         let site = site_of(SitePlan::default()).await;
         let service = &site.services[0];
@@ -155,13 +155,13 @@
         service.arrivals.set(LimitSpeech::of(LOW_LIMIT));
         until_limited(&site, "safe").await;
         let before = service.arrivals.count();
-        assert_eq!(ask_many(&site, "safe", "r", 20).await, vec![200; 20]);
+        assert_eq!(call_many(&site, "safe", "r", 20).await, vec![200; 20]);
         assert!(service.arrivals.count() - before <= 2);
     });
 }
 
 #[test]
-fn limit_taken_back_is_lifted() {
+fn withdrawn_limit_is_lifted() {
     runtime().block_on(async {
         let site = site_of(SitePlan { services: 1, ..SitePlan::default() }).await;
         let service = &site.services[0];
@@ -172,14 +172,14 @@
         while site.hosts[0].host.state().sends.limits.limited().next().is_some() {
             serial += 1;
             drop(call_first_host(&site, &call("POST", "once", &format!("b-{serial}"))).await);
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_PERIOD).await;
         }
-        assert_eq!(ask_many(&site, "once", "r", 60).await, vec![200; 60]);
+        assert_eq!(call_many(&site, "once", "r", 60).await, vec![200; 60]);
     });
 }
 
 #[test]
-fn new_life_of_a_server_has_no_limit() {
+fn new_incarnation_of_a_server_has_no_limit() {
     runtime().block_on(async {
         let site = site_of(SitePlan { services: 1, ..SitePlan::default() }).await;
         site.services[0].arrivals.set(LimitSpeech::of(LOW_LIMIT));
@@ -188,13 +188,13 @@
         let before = site.hosts[0].host.state().fleet.revision();
         site.restart(&id, RestartPlace::Other).await.expect("a restart");
         while site.hosts[0].host.state().fleet.revision() == before {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_PERIOD).await;
         }
-        assert_eq!(ask_many(&site, "once", "r", 20).await, vec![200; 20]);
+        assert_eq!(call_many(&site, "once", "r", 20).await, vec![200; 20]);
     });
 }
 
-/// A host that comes is told of limits by the others, before it sends anything.
+/// A host that joins receives limits from the others before it sends any request.
 #[test]
 fn host_that_joins_knows_limits() {
     runtime().block_on(async {
@@ -204,7 +204,7 @@
         site.add_host().await.expect("a host");
         site.wait_ready().await;
         while site.hosts[1].host.state().sends.limits.limited().next().is_none() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_PERIOD).await;
         }
         let before = site.services[0].arrivals.count();
         for serial in 0..20 {
--- a/tests/limited_servers.rs
+++ b/tests/limited_servers.rs
@@ -1,10 +1,9 @@
-//! A backend server in need names in its answers how many requests a second it takes from all hosts together.
+//! An overloaded backend server states in its answers how many requests a second it accepts from all hosts together.
 //!
-//! What was seen: servers of a plain service named 3 to 5 requests a second and got some 20 a second as before, from
-//! hosts that they had told. How it came about: hosts handed the answers to their callers and chose servers as ever.
-//! Cause: a bound that a server sets to the sum over all hosts was read by none of them, and there was no one place in
-//! which what all of them send to it is added up. What proves it: the logs of the hosts say when each was told and what
-//! it had sent; here the server's own count of arrivals shows that nothing changes as it names its limit.
+//! Guards against ignored limits: servers of a plain service stated 3 to 5 requests a second and still received some
+//! 20 a second from hosts that had received those answers. No host read a limit on the sum over all hosts, and what they
+//! sent to a server was not counted in one place. The hosts' logs state when each host learned of a limit and what it
+//! had sent; these tests use the server's own count of arrivals.
 
 use rstest::rstest;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -25,17 +24,17 @@
 const HOSTS: usize = 6;
 /// Requests a second to each host, half of them plain.
 const HOST_RATE: u64 = 20;
-/// Traffic before limits are named: a whole window of it.
-const FREE_TIME: Duration = Duration::from_secs(4);
-/// Time in which a case does what it does.
-const STEP_TIME: Duration = Duration::from_secs(4);
-const LOOK: Duration = Duration::from_millis(20);
+/// Duration of traffic before limits are stated: a whole window.
+const UNLIMITED_DURATION: Duration = Duration::from_secs(4);
+/// Duration of each step of a test case.
+const STEP_DURATION: Duration = Duration::from_secs(4);
+const POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// Real daemons in three failure domains, before servers that count what arrives.
+/// Real daemons in three failure domains, and servers that count the requests that arrive.
 struct LimitRig {
     site: TestSite,
     hosts: Vec<GatewayProcess>,
-    ended: Arc<AtomicBool>,
+    is_ended: Arc<AtomicBool>,
 }
 
 impl LimitRig {
@@ -51,21 +50,22 @@
             let host = start_host(&site, &folder, place, &seeds, &environment);
             hosts.push(host);
         }
-        let mut rig = Self { site, hosts, ended: Arc::default() };
+        let mut rig = Self { site, hosts, is_ended: Arc::default() };
         rig.wait_ready().await;
         rig
     }
 
-    /// Waits until all hosts take callers; one ends at once whose port another socket uses for a moment.
+    /// Waits until all hosts accept callers. A host whose port is briefly in use by another socket exits at once and is
+    /// restarted.
     async fn wait_ready(&mut self) {
-        let mut question = call("GET", "ready", "ready");
-        question.path = "/tealcleat/ready".to_owned();
+        let mut probe = call("GET", "ready", "ready");
+        probe.path = "/tealcleat/ready".to_owned();
         for host in &mut self.hosts {
-            while !call_site(host.ready, &question).await.is_ok_and(|r| r.status.is_success()) {
+            while !call_site(host.ready, &probe).await.is_ok_and(|r| r.status.is_success()) {
                 if host.has_ended() {
                     host.restart().expect("a restart");
                 }
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_PERIOD).await;
             }
         }
     }
@@ -73,11 +73,11 @@
     /// Sends requests to all hosts until the rig ends.
     fn send_requests(&self) {
         for (place, host) in self.hosts.iter().enumerate() {
-            tokio::spawn(send_to(host.callers, place, Arc::clone(&self.ended)));
+            tokio::spawn(send_to(host.callers, place, Arc::clone(&self.is_ended)));
         }
     }
 
-    /// Servers that got more than they named, and what.
+    /// The servers that received more requests than their limit allows, with the excess.
     fn excesses(&self) -> Vec<(String, LimitExcess)> {
         let services =
             self.site.services.iter().map(|server| (&server.id, server.arrivals.worst_excess()));
@@ -114,38 +114,38 @@
     GatewayProcess::start(&plan).expect("a daemon")
 }
 
-async fn send_to(host: SocketAddr, place: usize, ended: Arc<AtomicBool>) {
+async fn send_to(host: SocketAddr, place: usize, is_ended: Arc<AtomicBool>) {
     let mut ticker = tokio::time::interval(Duration::from_millis(1000 / HOST_RATE));
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut serial = 0;
-    while !ended.load(Ordering::Relaxed) {
+    while !is_ended.load(Ordering::Relaxed) {
         ticker.tick().await;
         serial += 1;
         let route = ["safe", "stream", "once", "resume"][serial % 4];
         let request = call("POST", route, &format!("r-{place}-{serial}"));
-        // What callers are told is looked at elsewhere.
+        // Other tests check the answers to callers.
         tokio::spawn(async move { drop(call_site(host, &request).await) });
     }
 }
 
-/// What happens after limits were named.
+/// What happens after limits were stated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LimitCase {
     /// Nothing else.
     Calm,
-    /// All servers of the plain service name a limit.
+    /// All servers of the plain service state a limit.
     AllPlain,
-    /// Limits are lowered, taken back and named again.
+    /// Limits are lowered, withdrawn and stated again.
     Changes,
     /// All hosts are killed and started again.
     Killed,
     /// A third of the hosts is suspended, twice.
     Suspended,
-    /// One answer of seven says nothing of the limit.
-    SaidNowAndThen,
+    /// One answer in seven does not state the limit.
+    OmittedNowAndThen,
 }
 
-fn name_limits(rig: &LimitRig, part: f64) {
+fn state_limits(rig: &LimitRig, part: f64) {
     for (place, limit) in [3.3, 5.0, 8.0].into_iter().enumerate() {
         rig.limit_service(place, limit * part);
     }
@@ -155,7 +155,7 @@
     rig.site.prefills[0].arrivals.set(LimitSpeech::of(6.0 * part));
 }
 
-fn take_back(rig: &LimitRig) {
+fn withdraw_limits(rig: &LimitRig) {
     for service in &rig.site.services {
         service.arrivals.set(LimitSpeech::default());
     }
@@ -164,22 +164,22 @@
     }
 }
 
-async fn play(rig: &mut LimitRig, case: LimitCase) {
-    let step = || tokio::time::sleep(STEP_TIME);
+async fn run_case(rig: &mut LimitRig, case: LimitCase) {
+    let step = || tokio::time::sleep(STEP_DURATION);
     match case {
-        LimitCase::Calm | LimitCase::AllPlain | LimitCase::SaidNowAndThen => step().await,
+        LimitCase::Calm | LimitCase::AllPlain | LimitCase::OmittedNowAndThen => step().await,
         LimitCase::Changes => {
-            name_limits(rig, 0.4);
+            state_limits(rig, 0.4);
             step().await;
-            take_back(rig);
+            withdraw_limits(rig);
             step().await;
-            name_limits(rig, 1.0);
+            state_limits(rig, 1.0);
         }
         LimitCase::Killed => {
             for host in &mut rig.hosts {
                 host.signal("-KILL").expect("a signal");
                 while !host.has_ended() {
-                    tokio::time::sleep(LOOK).await;
+                    tokio::time::sleep(POLL_PERIOD).await;
                 }
                 host.restart().expect("a restart");
             }
@@ -207,23 +207,23 @@
 #[case::limits_change(LimitCase::Changes)]
 #[case::hosts_killed(LimitCase::Killed)]
 #[case::hosts_suspended(LimitCase::Suspended)]
-#[case::said_now_and_then(LimitCase::SaidNowAndThen)]
-fn limited_server_gets_no_more_than_it_named(#[case] case: LimitCase) {
+#[case::omitted_now_and_then(LimitCase::OmittedNowAndThen)]
+fn limited_server_receives_no_more_than_its_limit(#[case] case: LimitCase) {
     runtime().block_on(async {
         let mut rig = LimitRig::start(&format!("limited-{case:?}")).await;
         rig.send_requests();
-        tokio::time::sleep(FREE_TIME).await;
-        name_limits(&rig, 1.0);
+        tokio::time::sleep(UNLIMITED_DURATION).await;
+        state_limits(&rig, 1.0);
         if case == LimitCase::AllPlain {
             (0..rig.site.services.len()).for_each(|place| rig.limit_service(place, 3.3));
         }
-        if case == LimitCase::SaidNowAndThen {
+        if case == LimitCase::OmittedNowAndThen {
             let speech = LimitSpeech { silent_each: 7, ..LimitSpeech::of(5.0) };
             rig.site.services[0].arrivals.set(speech);
         }
-        tokio::time::sleep(STEP_TIME).await;
-        play(&mut rig, case).await;
-        rig.ended.store(true, Ordering::Relaxed);
+        tokio::time::sleep(STEP_DURATION).await;
+        run_case(&mut rig, case).await;
+        rig.is_ended.store(true, Ordering::Relaxed);
         assert_eq!(rig.excesses(), Vec::new());
     });
 }
--- a/tests/shared_repeats.rs
+++ b/tests/shared_repeats.rs
@@ -1,5 +1,5 @@
-//! Repeats through real daemons: a host whose own part of what is allowed is less than one repeat gets them from the pool of
-//! its failure domain.
+//! Retries through real daemons: a host whose own share of the retry budget is less than one retry takes retries from the
+//! pool of its failure domain.
 
 use std::time::Duration;
 use tealcleat::bench::site::{ServiceFault, SitePlan, TestSite};
@@ -8,11 +8,11 @@
 
 use site_common::{call, call_first_host, runtime};
 
-/// An even share of it is an eighth of a repeat, or less.
+/// A host's even share of it is an eighth of a retry, or less.
 const SLACK: f64 = 5.0;
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Daemons of one failure domain, before servers that fail each request that they run.
+/// Daemons of one failure domain, with servers that fail every request that they run.
 async fn failing_site(hosts: usize) -> TestSite {
     let site = TestSite::start(SitePlan { hosts, ..SitePlan::default() }).await.expect("a site");
     for gateway in &site.hosts {
@@ -27,7 +27,7 @@
     site
 }
 
-/// How often a request ran.
+/// Sends a request and counts how many times it ran.
 async fn runs_of(site: &TestSite, id: &str) -> usize {
     let reply = call_first_host(site, &call("GET", "safe", id)).await;
     assert_eq!(reply.status.as_u16(), 500);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn repeat_comes_from_the_pool() {
+fn retry_taken_from_the_pool() {
     runtime().block_on(async {
         let site = failing_site(3).await;
         let mut serial = 0;
@@ -47,9 +47,9 @@
     });
 }
 
-/// The pool of a failure domain is worth less than one repeat.
+/// The pool of a failure domain amounts to less than one retry.
 #[test]
-fn pool_gives_no_repeat_on_credit() {
+fn pool_grants_no_retry_on_credit() {
     runtime().block_on(async {
         let site = failing_site(3).await;
         for gateway in &site.hosts {
--- a/tests/silent_servers.rs
+++ b/tests/silent_servers.rs
@@ -1,7 +1,7 @@
-//! Kept connections to a backend server fall silent, without an end, while new ones work.
+//! Idle connections to a backend server fall silent without being closed, while new connections work.
 //!
-//! Pattern: a host keeps several connections to a server; they fall silent together, and each of them cost one more
-//! request, which waited until its caller gave up.
+//! Guards against a loss for each connection: a host keeps several connections to a server, which fall silent together,
+//! and each of them cost one more request, which waited until its caller gave up.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -18,12 +18,12 @@
 use site_common::runtime;
 
 const CONNECTIONS: usize = 3;
-/// Work of the server on each request, so that requests sent together need a connection each.
-const WORK: Duration = Duration::from_millis(50);
-/// After this a call is given up.
-const PATIENCE: Duration = Duration::from_millis(400);
+/// Time that the server works on each request, so that concurrent requests need a connection each.
+const WORK_TIME: Duration = Duration::from_millis(50);
+/// After this time a call is given up.
+const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-async fn ask(pool: &HttpPool, address: SocketAddr, id: &str) -> bool {
+async fn call_server(pool: &HttpPool, address: SocketAddr, id: &str) -> bool {
     let request = Request::get("/").header("x-request-id", id).body(Full::new(Bytes::new()));
     let request = request.expect("a request");
     let (proof, limits) = (AnswerProof::Id("x-request-id"), SendLimits::default());
@@ -31,17 +31,17 @@
         let answer = pool.send(address, request, proof, limits).await.expect("an answer");
         answer.into_body().read_all().await.expect("a whole one");
     };
-    tokio::time::timeout(PATIENCE, exchange).await.is_ok()
+    tokio::time::timeout(CALL_TIMEOUT, exchange).await.is_ok()
 }
 
-/// Several connections to a server, behind a link, that rest.
-async fn kept_connections() -> (HttpPool, LinkProxy, Arc<SiteService>) {
+/// Opens several connections to a server through a link proxy and leaves them idle in the pool.
+async fn idle_connections() -> (HttpPool, LinkProxy, Arc<SiteService>) {
     let service = Arc::new(SiteService::new("i-service-0"));
-    service.set_fault(ServiceFault::Slow(WORK));
+    service.set_fault(ServiceFault::Slow(WORK_TIME));
     let link = LinkProxy::start(service.serve().await.expect("a port")).await.expect("a link");
     let pool = HttpPool::default();
     let ids: Vec<String> = (0..CONNECTIONS).map(|place| format!("first-{place}")).collect();
-    let calls = ids.iter().map(|id| ask(&pool, link.address, id));
+    let calls = ids.iter().map(|id| call_server(&pool, link.address, id));
     assert!(futures_util::future::join_all(calls).await.into_iter().all(|served| served));
     (pool, link, service)
 }
@@ -49,24 +49,24 @@
 #[test]
 fn silent_connections_cost_one_call() {
     runtime().block_on(async {
-        let (pool, link, _service) = kept_connections().await;
+        let (pool, link, _service) = idle_connections().await;
         link.silence_open();
-        assert!(!ask(&pool, link.address, "meets-silence").await);
-        assert!(ask(&pool, link.address, "comes-next").await);
+        assert!(!call_server(&pool, link.address, "meets-silence").await);
+        assert!(call_server(&pool, link.address, "comes-next").await);
     });
 }
 
-/// A server that answers others is not silent; its other connections are kept.
+/// A server that answers other calls is not silent; its other connections are kept.
 #[test]
 fn slow_call_leaves_connections_in_use() {
     runtime().block_on(async {
-        let (pool, link, service) = kept_connections().await;
-        service.set_fault(ServiceFault::Slow(PATIENCE * 2));
-        let slow = ask(&pool, link.address, "slow");
+        let (pool, link, service) = idle_connections().await;
+        service.set_fault(ServiceFault::Slow(CALL_TIMEOUT * 2));
+        let slow = call_server(&pool, link.address, "slow");
         let other = async {
-            tokio::time::sleep(WORK).await;
+            tokio::time::sleep(WORK_TIME).await;
             service.set_fault(ServiceFault::None);
-            ask(&pool, link.address, "other").await
+            call_server(&pool, link.address, "other").await
         };
         let (slow, other) = futures_util::future::join(slow, other).await;
         assert!(!slow && other);
--- a/tests/site_common/mod.rs
+++ b/tests/site_common/mod.rs
@@ -1,4 +1,4 @@
-//! Requests to a daemon on the platform's stand-ins, shared by tests.
+//! Helpers that send requests to daemons on simulated platform servers.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -8,7 +8,11 @@
 
 /// A runtime for one test.
 pub fn runtime() -> Runtime {
-    tokio::runtime::Builder::new_multi_thread().worker_threads(4).enable_all().build().expect("one")
+    tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(4)
+        .enable_all()
+        .build()
+        .expect("a runtime")
 }
 
 /// A request to a route of the site's configuration.
@@ -26,25 +30,25 @@
     }
 }
 
-/// Sends a request to the first daemon.
+/// Sends a request to the site's first host.
 pub async fn call_first_host(site: &TestSite, call: &SiteCall) -> CallerReply {
     call_site(site.hosts[0].callers, call).await.expect("an answer")
 }
 
-/// What engines did for a request.
+/// The runs of a request on all engines.
 pub fn engine_runs(site: &TestSite, id: &str) -> Vec<SiteRun> {
     let engines = site.prefills.iter().chain(&site.decodes);
     engines.flat_map(|engine| engine.runs()).filter(|run| run.request == id).collect()
 }
 
-/// Waits until no engine keeps anything for a request.
+/// Waits until every hold and every prefill result at the engines has been released or used.
 pub async fn wait_released(site: &TestSite) {
-    let kept = || {
+    let reserved = || {
         let holds: usize = site.decodes.iter().map(|engine| engine.open_holds()).sum();
         let handles: usize = site.prefills.iter().map(|engine| engine.open_handles()).sum();
         holds + handles
     };
-    while kept() > 0 {
+    while reserved() > 0 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
--- a/tests/stream_ends.rs
+++ b/tests/stream_ends.rs
@@ -1,4 +1,4 @@
-//! What ends early never looks whole to its caller.
+//! A stream that ends early never looks complete to its caller.
 
 use std::net::SocketAddr;
 use tealcleat::bench::site::{EngineFault, SitePlan, TestSite};
@@ -14,7 +14,7 @@
     x-deadline-ms: 15000\r\nx-token-count: 100,96\r\ncontent-length: 6\r\n\r\nprompt";
 const LAST_CHUNK: &str = "0\r\n\r\n";
 
-/// Sends a request and reads its answer until it holds the event number 1.
+/// Sends a request and reads its answer up to the event number 1.
 async fn open_stream(address: SocketAddr) -> (TcpStream, String) {
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     stream.write_all(REQUEST.as_bytes()).await.expect("it is sent");
@@ -28,10 +28,10 @@
     (stream, text)
 }
 
-/// The tasks of a daemon end in any order when it does. One that passes events on may be gone while the one
-/// that writes to the caller still runs; the end of the channel between them used to be the end of a stream.
+/// The tasks of a daemon end in any order on shutdown. The task that relays events may end while the task that writes
+/// to the caller still runs; the closed channel between them was once taken for the regular end of the stream.
 #[test]
-fn stream_cut_with_its_daemon_not_whole() {
+fn stream_cut_by_daemon_shutdown_not_complete() {
     let outside = runtime();
     for round in 0..5 {
         let daemon = Runtime::new().expect("a runtime");
@@ -44,7 +44,7 @@
         outside.block_on(site.wait_ready());
         let (mut stream, mut text) = outside.block_on(open_stream(site.hosts[0].callers));
         daemon.shutdown_background();
-        // A reset ends it as well as a close does.
+        // The connection may end with a reset or a close.
         drop(outside.block_on(stream.read_to_string(&mut text)));
         assert!(!text.ends_with(LAST_CHUNK), "round {round}: {text}");
     }
