--- a/src/keys/attempt_id.rs
+++ b/src/keys/attempt_id.rs
@@ -4,9 +4,9 @@
 /// One attempt to run one request, unique across hosts and restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The incarnation of the entry host that made the attempt.
+    /// Incarnation of the host that made the attempt.
     pub owner: IncarnationId,
-    /// Counts the attempts of that incarnation.
+    /// Serial number of the attempt within that incarnation.
     pub serial: u64,
 }
 
--- a/src/keys/host_clock.rs
+++ b/src/keys/host_clock.rs
@@ -2,10 +2,10 @@
 use nix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 
-/// The clock by which a host tells ages: it goes on while the machine is suspended, and is never set.
+/// The clock by which a host measures ages: it keeps running while the machine is suspended, and is never set.
 ///
-/// The steady clock of the standard library stands still then, and whatever was young before would be so after: keys
-/// that were revoked meanwhile, leases that others took over, views and servers that are long gone.
+/// The monotonic clock of the standard library stops during a suspension, so everything recent before it would seem recent
+/// after it: revoked keys, leases that other hosts took over, and outdated views and servers.
 #[derive(Debug, Clone, Copy)]
 pub struct HostClock {
     start: Duration,
@@ -18,7 +18,7 @@
 }
 
 impl HostClock {
-    /// A clock that starts now.
+    /// Starts a clock at the present time.
     pub fn start() -> Self {
         Self { start: since_boot() }
     }
@@ -29,13 +29,13 @@
     }
 }
 
-/// Time since the machine was started.
+/// Time since the machine booted.
 ///
 /// # Panics
 /// If the system has no such clock; Linux has it since 2.6.39.
 fn since_boot() -> Duration {
     match clock_gettime(ClockId::CLOCK_BOOTTIME) {
         Ok(time) => Duration::from(time),
-        Err(error) => panic!("the clock since boot cannot be read: {error}"),
+        Err(error) => panic!("cannot read the boot-time clock: {error}"),
     }
 }
--- a/src/keys/keyed_hash.rs
+++ b/src/keys/keyed_hash.rs
@@ -1,10 +1,10 @@
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
-/// A hash that only those who share a key can make.
+/// A hash that can be computed only with the shared key.
 pub type KeyedHash = Hmac<Sha256>;
 
-/// Makes the keyed hash of a key of any length.
+/// Creates a keyed hash with a key of any length.
 pub fn keyed_hash(key: &str) -> KeyedHash {
     match KeyedHash::new_from_slice(key.as_bytes()) {
         Ok(hash) => hash,
--- a/src/keys/mod.rs
+++ b/src/keys/mod.rs
@@ -1,4 +1,4 @@
-//! Small copyable keys that name things across processes.
+//! Small copyable keys that identify things across processes, and the clock and time points of a host.
 
 mod attempt_id;
 mod host_clock;
@@ -16,7 +16,7 @@
 pub use request_key::{RequestContents, RequestHasher, RequestKey};
 pub use time_point::TimePoint;
 
-/// 64-bit FNV-1a hash; stable across hosts and versions, unlike the standard hasher.
+/// 64-bit FNV-1a hash; stable across hosts and versions, unlike the standard library's hasher.
 pub fn stable_hash(bytes: &[u8]) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/src/keys/name_key.rs
+++ b/src/keys/name_key.rs
@@ -1,23 +1,23 @@
 use super::stable_hash;
 use serde::{Deserialize, Serialize};
 
-/// Key made from a name; equal on every host without any agreement.
+/// Key computed from a name; equal on every host without coordination.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Default,
 )]
 pub struct NameKey(pub u64);
 
-/// Key of a backend server; of one life of it, where servers say when they started.
+/// Key of one incarnation of a backend server, or of its id if the server does not report its start time.
 pub type ServerKey = NameKey;
 
-/// Key of a backend server's id, which all of its lives share.
+/// Key of a backend server's id, shared by all of its incarnations.
 pub type IdKey = NameKey;
 
-/// Key of an organisation (a partner or customer whose callers share a fair share).
+/// Key of an organisation, a partner or customer whose callers have one fair share together.
 pub type OrgKey = NameKey;
 
 impl NameKey {
-    /// The key of `name`.
+    /// Computes the key of `name`.
     pub fn of(name: &str) -> Self {
         Self(stable_hash(name.as_bytes()))
     }
--- a/src/keys/request_key.rs
+++ b/src/keys/request_key.rs
@@ -2,12 +2,12 @@
 use hmac::Mac;
 use serde::{Deserialize, Serialize};
 
-/// Separates these digests from whatever else is made with the hosts' shared key.
+/// Domain separation from other hashes made with the hosts' shared key.
 const PURPOSE: &[u8] = b"request-contents";
 
-/// Key of a request's contents: the same for each attempt at it, by whichever host and under whichever id.
+/// Key of a request's contents: the same for each attempt, regardless of the host and the request id.
 ///
-/// Eight bytes of a keyed hash: nobody without the shared key can make two requests that share one.
+/// It is eight bytes of a keyed hash: nobody without the shared key can create two requests with the same key.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Default,
 )]
@@ -19,22 +19,22 @@
     }
 }
 
-/// What makes two requests the same one.
+/// The contents that identify a request.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestContents<'a> {
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Host name that the caller asked for.
+    /// Host name in the request.
     pub host: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// The organisation whose key the caller showed, if any.
+    /// Organisation that holds the caller's key, if any.
     pub caller: Option<OrgKey>,
-    /// Body.
+    /// Request body.
     pub body: &'a [u8],
 }
 
-/// Makes keys of requests, the same on all hosts that share a key.
+/// Computes keys of requests; hosts that share a key compute the same ones.
 #[derive(Clone)]
 pub struct RequestHasher(KeyedHash);
 
@@ -45,14 +45,14 @@
 }
 
 impl RequestHasher {
-    /// A hasher for hosts that share `shared_key`.
+    /// Creates a hasher for hosts that share `shared_key`.
     pub fn new(shared_key: &str) -> Self {
         let mut hash = keyed_hash(shared_key);
         hash.update(PURPOSE);
         Self(hash)
     }
 
-    /// The key of a request's contents.
+    /// Computes the key of a request's contents.
     pub fn key(&self, contents: &RequestContents<'_>) -> RequestKey {
         let mut hash = self.0.clone();
         for part in [contents.method, contents.host, contents.path] {
--- a/src/keys/time_point.rs
+++ b/src/keys/time_point.rs
@@ -1,22 +1,22 @@
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// A moment on a [`super::HostClock`] of this process, in microseconds since it started.
+/// A point in time on a [`super::HostClock`] of this process, in microseconds since the clock started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct TimePoint(pub u64);
 
 impl TimePoint {
-    /// The moment `millis` after the start of the clock.
+    /// The point in time `millis` milliseconds after the start of the clock.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1000)
     }
 
-    /// Time since `earlier`, or zero if it lies in the future.
+    /// Time since `earlier`, or zero if that is in the future.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Microseconds since `earlier` as a signed number.
+    /// Microseconds since `earlier`, negative if that is in the future.
     pub fn signed_micros_since(self, earlier: Self) -> i64 {
         self.0 as i64 - earlier.0 as i64
     }
--- a/src/peers/datagram.rs
+++ b/src/peers/datagram.rs
@@ -19,7 +19,7 @@
     Ok(bytes)
 }
 
-/// Checks the signature of a datagram, and only then decodes it.
+/// Checks the signature of a datagram before decoding it.
 ///
 /// # Errors
 /// [`Error::Unproven`] if the signature is wrong.
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Peers is the edge between daemons: `h2` streams with `bincode`, and signed datagrams.
+//! Communication between daemons: `bincode` messages over `h2` streams, and signed datagrams.
 //!
 //! Both sides prove that they know the shared key before any frame is decoded.
 
@@ -24,7 +24,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Largest message between daemons, in bytes.
+/// Maximum size of a message between daemons in bytes.
 pub const MESSAGE_LIMIT: usize = 8 << 20;
 
 /// Encodes a message.
@@ -35,7 +35,7 @@
     Ok(bincode::serde::encode_to_vec(message, bincode::config::standard())?)
 }
 
-/// Decodes a message; bytes left over are an error.
+/// Decodes a message; trailing bytes are an error.
 ///
 /// # Errors
 /// If the bytes are not exactly one message.
@@ -45,6 +45,6 @@
     if used == bytes.len() {
         Ok(message)
     } else {
-        Err(crate::Error::Protocol("broken frame: bytes left over".to_owned()))
+        Err(crate::Error::Protocol("invalid frame: trailing bytes".to_owned()))
     }
 }
--- a/src/peers/peer_client.rs
+++ b/src/peers/peer_client.rs
@@ -14,99 +14,99 @@
 use tokio::net::TcpStream;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// After a failed connection, calls fail at once for this long.
-const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(300);
+/// After a failed connection attempt, calls fail immediately for this long.
+const FAILURE_BACKOFF: Duration = Duration::from_millis(300);
 const WINDOW_BYTES: u32 = 8 << 20;
 
-/// How long a call may take whose reply may be long.
+/// Timeouts of a call with a large reply.
 #[derive(Debug, Clone, Copy)]
 pub struct PeerTimeouts {
-    /// Until the reply begins.
+    /// Maximum time until the reply begins.
     pub reply: Duration,
-    /// Between two pieces of it, however many there are: a small host's link carries a megabyte in a second, and
-    /// several at once in several.
+    /// Maximum time between two pieces of the reply, regardless of their number: a small host's link transfers one
+    /// megabyte a second, and several concurrent transfers take several times as long.
     pub pause: Duration,
 }
 
-/// Calls other daemons, each over one kept connection.
+/// Client for calls to other daemons; keeps one connection to each.
 #[derive(Debug)]
 pub struct PeerClient {
     key: String,
     clock: HostClock,
     links: Mutex<HashMap<SocketAddr, Arc<tokio::sync::Mutex<PeerLink>>>>,
-    /// When a connection was last found silent.
+    /// Start of the last call that found a kept connection silent.
     silent_at: Mutex<Option<TimePoint>>,
-    sent_bytes: AtomicU64,
+    transferred_bytes: AtomicU64,
     sent_calls: AtomicU64,
 }
 
 impl PeerClient {
-    /// A client that proves itself with `key`.
+    /// Creates a client that authenticates itself with `key`.
     pub fn new(key: &str) -> Self {
         Self {
             key: key.to_owned(),
             clock: HostClock::start(),
             links: Mutex::new(HashMap::new()),
             silent_at: Mutex::new(None),
-            sent_bytes: AtomicU64::new(0),
+            transferred_bytes: AtomicU64::new(0),
             sent_calls: AtomicU64::new(0),
         }
     }
 
-    /// Bytes of requests and replies, and calls made.
+    /// Number of bytes of requests and replies, and number of calls.
     pub fn traffic(&self) -> (u64, u64) {
-        (self.sent_bytes.load(Ordering::Relaxed), self.sent_calls.load(Ordering::Relaxed))
+        (self.transferred_bytes.load(Ordering::Relaxed), self.sent_calls.load(Ordering::Relaxed))
     }
 
-    /// Calls the daemon at `address` and waits for its reply at most `limit`. Dropping the call
-    /// resets its stream, which the other side notices.
+    /// Calls the daemon at `address` and waits at most `limit` for its reply. Dropping the call resets
+    /// its stream, which cancels the request on the other side.
     ///
     /// # Errors
-    /// If there is no connection, no reply in time, or a broken one.
+    /// If the connection fails, or if the reply is late or invalid.
     pub async fn call<Q: Serialize, R: DeserializeOwned>(
         &self,
         address: SocketAddr,
         request: &Q,
         limit: Duration,
     ) -> Result<R> {
-        let patience = PeerTimeouts { reply: limit, pause: limit };
+        let timeouts = PeerTimeouts { reply: limit, pause: limit };
         let bytes = encode(request)?;
-        let began = self.clock.now();
+        let started_at = self.clock.now();
         let connected = tokio::time::timeout(limit, self.connection(address)).await;
         let connection = connected.map_err(|_elapsed| Error::Timeout)??;
-        let left = limit.saturating_sub(self.clock.now().since(began));
-        let exchange = self.exchange(&connection, bytes, patience, || {});
+        let left = limit.saturating_sub(self.clock.now().since(started_at));
+        let exchange = self.exchange(&connection, bytes, timeouts, || {});
         let reply = tokio::time::timeout(left, exchange).await;
         let reply = reply.unwrap_or(Err(Error::Timeout));
-        self.note_end(address, &connection, began, reply.as_ref().err()).await;
+        self.record_result(address, &connection, started_at, reply.as_ref().err()).await;
         decode(&reply?)
     }
 
-    /// The same for a reply that may be long and may be asked for twice: `on_piece` hears of its pieces. If the call
-    /// meets a kept connection that is silent, it goes on once with a new one.
+    /// Calls the daemon at `address` for a large reply; `on_piece` runs for each piece. If a call on a kept connection
+    /// fails, the call is retried once on a new connection, so the request must be safe to repeat.
     ///
     /// # Errors
-    /// If there is no connection, no reply in time, or a broken one.
+    /// If the connection fails, or if the reply is late or invalid.
     pub async fn fetch<Q: Serialize, R: DeserializeOwned>(
         &self,
         address: SocketAddr,
         request: &Q,
-        patience: PeerTimeouts,
+        timeouts: PeerTimeouts,
         on_piece: impl Fn(),
     ) -> Result<R> {
         let bytes = encode(request)?;
-        let began = self.clock.now();
+        let started_at = self.clock.now();
         let connection = self.connection(address).await?;
-        let reply = self.exchange(&connection, bytes.clone(), patience, &on_piece).await;
-        self.note_end(address, &connection, began, reply.as_ref().err()).await;
-        if reply.is_ok() || connection.opened_at >= began {
+        let reply = self.exchange(&connection, bytes.clone(), timeouts, &on_piece).await;
+        self.record_result(address, &connection, started_at, reply.as_ref().err()).await;
+        if reply.is_ok() || connection.opened_at >= started_at {
             return decode(&reply?);
         }
-        self.give_up(address, &connection).await;
-        let began = self.clock.now();
+        self.discard(address, &connection).await;
+        let started_at = self.clock.now();
         let connection = self.connection(address).await?;
-        let reply = self.exchange(&connection, bytes, patience, &on_piece).await;
-        self.note_end(address, &connection, began, reply.as_ref().err()).await;
+        let reply = self.exchange(&connection, bytes, timeouts, &on_piece).await;
+        self.record_result(address, &connection, started_at, reply.as_ref().err()).await;
         decode(&reply?)
     }
 
@@ -114,59 +114,59 @@
         &self,
         connection: &PeerConnection,
         bytes: Vec<u8>,
-        patience: PeerTimeouts,
+        timeouts: PeerTimeouts,
         on_piece: impl Fn(),
     ) -> Result<Bytes> {
-        let mut sender = within(patience.reply, connection.sender.clone().ready()).await??;
+        let mut sender = within(timeouts.reply, connection.sender.clone().ready()).await??;
         let request = http::Request::post("http://peer/call")
             .body(())
             .map_err(|error| Error::Protocol(error.to_string()))?;
-        self.sent_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+        self.transferred_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         self.sent_calls.fetch_add(1, Ordering::Relaxed);
         let (response, mut stream) = sender.send_request(request, false)?;
         stream.send_data(Bytes::from(bytes), true)?;
-        let response = within(patience.reply, response).await??;
-        let heard = || {
-            connection.note_heard(&self.clock);
+        let response = within(timeouts.reply, response).await??;
+        let on_received = || {
+            connection.record_received(&self.clock);
             on_piece();
         };
-        heard();
-        let body =
-            super::peer_server::read_body(response.into_body(), patience.pause, heard).await?;
-        self.sent_bytes.fetch_add(body.len() as u64, Ordering::Relaxed);
+        on_received();
+        let body = super::peer_server::read_body(response.into_body(), timeouts.pause, on_received)
+            .await?;
+        self.transferred_bytes.fetch_add(body.len() as u64, Ordering::Relaxed);
         Ok(body)
     }
 
-    /// A connection that failed, or on which nothing came while a call waited, is not used again. Nothing else would
-    /// ever tell: a connection can fall silent without an end.
-    async fn note_end(
+    /// Discards a connection that failed, or that was silent while a call waited for its reply. A connection can become
+    /// silent without being closed, and nothing else would detect that.
+    async fn record_result(
         &self,
         address: SocketAddr,
         connection: &PeerConnection,
-        began: TimePoint,
+        started_at: TimePoint,
         error: Option<&Error>,
     ) {
         let Some(error) = error else { return };
         let is_timeout = matches!(error, Error::Timeout);
-        let was_kept = connection.opened_at < began;
-        if is_timeout && was_kept && connection.heard_at() >= began {
+        let was_kept = connection.opened_at < started_at;
+        if is_timeout && was_kept && connection.received_at() >= started_at {
             return;
         }
         let now = self.clock.now();
         log::info!(
             "event=peer_call_given_up peer={address} waited_ms={} connection_age_ms={} cause=\"{error}\"",
-            now.since(began).as_millis(),
+            now.since(started_at).as_millis(),
             now.since(connection.opened_at).as_millis()
         );
-        self.give_up(address, connection).await;
+        self.discard(address, connection).await;
         if is_timeout && was_kept {
-            *self.silent_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(began);
+            *self.silent_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(started_at);
         }
     }
 
-    async fn give_up(&self, address: SocketAddr, connection: &PeerConnection) {
+    async fn discard(&self, address: SocketAddr, connection: &PeerConnection) {
         if let Ok(link) = self.link(address) {
-            link.lock().await.give_up(connection);
+            link.lock().await.discard(connection);
         }
     }
 
@@ -174,16 +174,16 @@
         let silent_at = *self.silent_at.lock().unwrap_or_else(PoisonError::into_inner);
         let link = self.link(address)?;
         let mut link = link.lock().await;
-        if let Some(connection) = link.trusted(self.clock.now(), silent_at) {
-            // A cheap poll tells whether the connection has ended.
+        if let Some(connection) = link.usable_connection(self.clock.now(), silent_at) {
+            // Polling readiness is a cheap check whether the connection is closed.
             match connection.sender.clone().ready().await {
                 Ok(_) => return Ok(connection),
-                Err(_) => link.give_up(&connection),
+                Err(_) => link.discard(&connection),
             }
         }
         let now = self.clock.now();
-        if link.failed_at.is_some_and(|at| now.since(at) < PAUSE_AFTER_FAILURE) {
-            return Err(paused(link.refused));
+        if link.failed_at.is_some_and(|at| now.since(at) < FAILURE_BACKOFF) {
+            return Err(backoff_error(link.refused));
         }
         match self.connect(address).await {
             Ok(connection) => {
@@ -214,7 +214,7 @@
                 .handshake(stream)
                 .await?;
             tokio::spawn(async move {
-                // Its calls see the error; the task has nobody to tell.
+                // The calls on this connection report the error.
                 let _ = connection.await;
             });
             Ok(PeerConnection::opened(sender, self.clock.now()))
@@ -231,6 +231,6 @@
     matches!(error, Error::Io(io) if io.kind() == std::io::ErrorKind::ConnectionRefused)
 }
 
-fn paused(refused: bool) -> Error {
+fn backoff_error(refused: bool) -> Error {
     if refused { Error::Io(std::io::ErrorKind::ConnectionRefused.into()) } else { Error::Timeout }
 }
--- a/src/peers/peer_message.rs
+++ b/src/peers/peer_message.rs
@@ -6,173 +6,173 @@
 use crate::telemetry::SpanRecord;
 use serde::{Deserialize, Serialize};
 
-/// What a request wants, as the owners of books need to know it. Times are from now, since clocks
-/// are never agreed on.
+/// A request for placement offers, sent to the owners of servers. Times are relative to now, since
+/// the hosts' clocks are not synchronised.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PlaceRequest {
-    /// The attempt.
+    /// Attempt that the request is for.
     pub attempt: AttemptId,
-    /// Whose share it counts against.
+    /// Organisation whose share it counts against.
     pub org: OrgKey,
     /// Model, as `name@version`.
     pub model: String,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub tokens: u32,
     /// Hashes of the prompt's blocks.
     pub blocks: Vec<u64>,
-    /// KV cache bytes.
+    /// Size of the KV cache in bytes.
     pub kv_bytes: u64,
-    /// Time for which the prefill must not start, since its decode slot is not free before.
+    /// Time before which the prefill must not start, since its decode slot is not free earlier.
     pub not_before_in_micros: u64,
     /// Time left until the prefill must be finished.
     pub finish_in_micros: u64,
-    /// The whole first-token target.
+    /// Whole target time to the first token.
     pub target_micros: u64,
-    /// Prefill servers asked for a quote.
+    /// Prefill servers to quote.
     pub prefills: Vec<ServerKey>,
-    /// Decode servers asked for a quote.
+    /// Decode servers to quote.
     pub decodes: Vec<ServerKey>,
 }
 
-/// Quotes and refusals.
+/// Reply to a [`PlaceRequest`]: quotes and refusals.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct PlaceOffers {
     /// Prefill offers.
     pub prefills: Vec<PrefillQuote>,
     /// Decode offers.
     pub decodes: Vec<DecodeQuote>,
-    /// Refusals, with when to ask again.
+    /// Refused servers, each with the reason and the time after which to ask again.
     pub refusals: Vec<(ServerKey, RefusalReason, u64)>,
 }
 
-/// Asks for a decode slot and its link share.
+/// A request to hold a decode slot and its share of the link.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HoldRequest {
-    /// The decode server.
+    /// Decode server.
     pub server: ServerKey,
-    /// The attempt.
+    /// Attempt that the request is for.
     pub attempt: AttemptId,
-    /// When the KV cache can be handed over at the earliest.
+    /// Earliest time at which the KV cache can be handed over.
     pub earliest_in_micros: u64,
-    /// When it must be handed over at the latest for the first token to be in time.
+    /// Latest time at which it must be handed over for the first token to be on time.
     pub latest_in_micros: u64,
-    /// Its size.
+    /// Size of the KV cache in bytes.
     pub kv_bytes: u64,
-    /// Output tokens at most.
+    /// Maximum number of output tokens.
     pub max_tokens: u32,
 }
 
-/// A prefill owner's answer when the engine is ready for the attempt.
+/// A prefill owner's reply when the engine is ready for the attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StartReply {
-    /// Send it now.
+    /// The attempt may be sent now.
     Start {
-        /// Expected work, after cached blocks.
+        /// Expected work without the cached blocks.
         work_micros: u64,
     },
-    /// It will not be started.
+    /// The attempt is not started.
     Refused(RefusalReason),
 }
 
-/// How an attempt's stay on a server ended.
+/// Progress or end of an attempt on a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StopReport {
     /// The prefill finished.
     Prefilled {
-        /// Tokens computed.
+        /// Number of tokens computed.
         tokens: u32,
-        /// Engine time.
+        /// Engine time used.
         took_micros: u64,
     },
     /// The KV cache arrived; decoding begins.
     Decoding {
-        /// Output tokens at most.
+        /// Maximum number of output tokens.
         max_tokens: u32,
     },
     /// The stream ended.
     Ended {
-        /// Tokens produced.
+        /// Number of tokens produced.
         produced: u32,
     },
-    /// The attempt was given up for reasons that are not the server's.
+    /// The attempt was abandoned for a reason other than the server.
     GivenUp,
     /// The server failed or stalled.
     Failed,
 }
 
-/// What became of a claim at the bucket's batching host.
+/// Result of a claim at the host that batches the claims of its bucket.
 pub type ClaimReply = ClaimVerdict;
 
-/// What a key or ticket met at its claimant.
+/// Result of presenting a key or ticket to its claimant.
 pub type PresentedReply = KeyStatus;
 
 /// A request between daemons.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Quote for an attempt.
+    /// Requests offers for an attempt.
     Quote(PlaceRequest),
-    /// Hold a decode slot.
+    /// Requests the hold of a decode slot.
     Hold(HoldRequest),
-    /// Queue at a prefill server; the reply waits for the start.
+    /// Queues an attempt at a prefill server; the reply is sent when the attempt may start.
     Enqueue(ServerKey, PlaceRequest),
-    /// An attempt's stay on a server changed.
+    /// Reports a change of an attempt on a server.
     Report(ServerKey, AttemptId, StopReport),
-    /// A new owner asks what this host's attempts claim on a server.
+    /// Requests the claims of the receiver's attempts on a server, sent by the server's new owner.
     Claims(ServerKey),
-    /// Which of these attempts does this host still work for?
+    /// Asks which of these attempts the receiver still works on.
     StillHeld(Vec<AttemptId>),
-    /// Compare membership.
+    /// Exchanges whole member tables.
     Sync(Vec<MemberUpdate>),
-    /// The configuration, if newer than this version.
+    /// Requests the configuration if it is newer than this version.
     Config(u64),
-    /// Claim or give back a key.
+    /// Claims or releases a key.
     Claim(ClaimRequest),
-    /// A key that an attempt of this incarnation claimed is presented again, with a body hash.
+    /// Presents a key again that an attempt of the receiver's incarnation claimed, with a hash of the body.
     Present(ClaimKey, AttemptId, u64),
-    /// A ticket of this incarnation is presented with its request.
+    /// Presents a ticket of the receiver's incarnation with its request.
     Ticket {
-        /// The ticket.
+        /// Id of the ticket.
         ticket: TicketId,
-        /// The claim key of organisation and ticket.
+        /// Claim key of the organisation and ticket.
         key: ClaimKey,
-        /// Hash of service, path and body.
+        /// Hash of the service, path and body.
         body_hash: u64,
-        /// The service.
+        /// Name of the service.
         service: String,
-        /// Path within it.
+        /// Path within the service.
         path: String,
-        /// The body.
+        /// Request body.
         body: Vec<u8>,
     },
-    /// A leaving owner hands its book over.
+    /// Hands a server's claims over from an owner that is draining.
     HandOver(ServerKey, Vec<SlotClaim>),
-    /// Spans of a trace.
+    /// Requests the spans of a trace.
     Spans(u128),
 }
 
 /// A reply between daemons.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// Quotes.
+    /// Offers for an attempt.
     Offers(PlaceOffers),
-    /// When the held slot will be free, in microseconds from now.
+    /// Microseconds from now until the held slot is free, or the reason of a refusal.
     Held(Result<u64, RefusalReason>),
-    /// The prefill may start, or not.
+    /// Whether the prefill may start.
     Start(StartReply),
-    /// Taken note.
+    /// Acknowledges a report or a handover.
     Acknowledged,
-    /// Claims on a server.
+    /// Claims of the sender's attempts on a server.
     Claims(Vec<SlotClaim>),
-    /// Those of the attempts that are still worked for.
+    /// The attempts that the sender still works on.
     StillHeld(Vec<AttemptId>),
-    /// All news about members.
+    /// The sender's updates of all members.
     Members(Vec<MemberUpdate>),
-    /// A newer configuration, if any.
+    /// The newer configuration, if any.
     Config(Option<ClusterConfig>),
-    /// What became of a claim.
+    /// Result of a claim.
     Claim(ClaimReply),
-    /// What a key or ticket met.
+    /// Result of presenting a key or ticket.
     KeyStatus(PresentedReply),
-    /// Spans.
+    /// Spans of the requested trace.
     Spans(Vec<SpanRecord>),
 }
--- a/src/peers/peer_server.rs
+++ b/src/peers/peer_server.rs
@@ -11,24 +11,24 @@
 use tokio::net::{TcpListener, TcpStream};
 
 const WINDOW_BYTES: u32 = 8 << 20;
-/// A connection without a new call for this long is closed: one that fell silent would stay for good, and clients use
-/// none that rested for half of it.
+/// A connection without a new call for this long is closed, since a silent connection would otherwise stay open forever.
+/// Clients use no connection that was idle for half of this time.
 const IDLE_LIMIT: Duration = Duration::from_secs(60);
-/// Longest pause within a request.
+/// Maximum time between two pieces of a request.
 const REQUEST_PAUSE: Duration = Duration::from_secs(10);
 
-/// Handles requests of other daemons.
+/// Handler of other daemons' requests.
 pub trait PeerHandler: Send + Sync + 'static {
-    /// What other daemons ask.
+    /// Request from another daemon.
     type Request: DeserializeOwned + Send;
-    /// What they are answered.
+    /// Reply to a request.
     type Reply: Serialize + Send + Sync;
 
-    /// Answers one request; dropped when the other side gives the call up.
+    /// Handles one request; the future is dropped when the other side cancels the call.
     fn handle(self: Arc<Self>, request: Self::Request) -> impl Future<Output = Self::Reply> + Send;
 }
 
-/// Serves peers until the listener fails.
+/// Accepts and serves connections of other daemons; never returns.
 pub async fn serve_peers<H: PeerHandler>(listener: TcpListener, key: String, handler: Arc<H>) {
     let key = Arc::new(key);
     loop {
@@ -63,7 +63,7 @@
         .await?;
     loop {
         let Ok(accepted) = tokio::time::timeout(IDLE_LIMIT, connection.accept()).await else {
-            // Replies under way end first, if anybody still takes them.
+            // Lets replies in flight finish, if the client still reads them.
             connection.graceful_shutdown();
             let rest = std::future::poll_fn(|cx| connection.poll_closed(cx));
             return tokio::time::timeout(IDLE_LIMIT, rest)
@@ -96,7 +96,7 @@
     let handling = handler.handle(request);
     let reply = tokio::select! {
         reply = handling => reply,
-        // The other side gave up: the handler's future is dropped here and releases what it held.
+        // The other side cancelled the call: the handler's future is dropped here and releases its resources.
         _ = std::future::poll_fn(|cx| respond.poll_reset(cx)) => return Ok(()),
     };
     let response = http::Response::new(());
@@ -109,7 +109,7 @@
     decode(&read_body(body, REQUEST_PAUSE, || {}).await?)
 }
 
-/// Reads one message of at most [`MESSAGE_LIMIT`] bytes; each piece may take `pause`, and `on_piece` hears of it.
+/// Reads one message of at most [`MESSAGE_LIMIT`] bytes; waits up to `pause` for each piece and calls `on_piece` for it.
 pub(super) async fn read_body(
     mut body: RecvStream,
     pause: Duration,
@@ -123,7 +123,7 @@
         on_piece();
         body.flow_control().release_capacity(chunk.len())?;
         if bytes.len() + chunk.len() > MESSAGE_LIMIT {
-            return Err(Error::Protocol("a message is too long".to_owned()));
+            return Err(Error::Protocol("message exceeds the size limit".to_owned()));
         }
         bytes.extend_from_slice(&chunk);
     }
--- a/src/peers/proof.rs
+++ b/src/peers/proof.rs
@@ -17,7 +17,7 @@
     hash
 }
 
-/// Proves this side to a server and checks the server's proof.
+/// Authenticates this side to a server, after checking the server's proof.
 ///
 /// # Errors
 /// [`Error::Unproven`] if the server does not know the key.
@@ -38,7 +38,7 @@
     tokio::time::timeout(PROOF_TIMEOUT, exchange).await.map_err(|_elapsed| Error::Timeout)?
 }
 
-/// Checks a client's proof and proves this side to it.
+/// Authenticates this side to a client, then checks the client's proof.
 ///
 /// # Errors
 /// [`Error::Unproven`] if the client does not know the key.
--- a/src/peers/view_fetches.rs
+++ b/src/peers/view_fetches.rs
@@ -3,45 +3,45 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Hosts from which a view is fetched at the same time.
-const MOST_FETCHES: usize = 3;
-/// A further host is asked if nothing has come from those asked so far for this long: news come within some
-/// milliseconds, and a host that is silent would hold up all others for as long as it is waited for.
-const FETCH_REST: Duration = Duration::from_millis(150);
+/// Maximum number of concurrent fetches.
+const MAX_FETCHES: usize = 3;
+/// A fetch from a further host may begin when none of the fetches in flight has received anything for this long: an
+/// update usually arrives within milliseconds, and a silent host would delay the fetch until its timeout.
+const FETCH_IDLE: Duration = Duration::from_millis(150);
 
-/// Fetches of newer views that are under way, and when something last came of each.
+/// Fetches of newer views in flight and the time of each one's last progress.
 #[derive(Debug, Default)]
 pub struct ViewFetches {
-    open: BTreeMap<SocketAddr, TimePoint>,
+    in_flight: BTreeMap<SocketAddr, TimePoint>,
 }
 
 impl ViewFetches {
-    /// Whether a fetch from `address` may begin now; then it counts as under way.
+    /// Begins a fetch from `address` if one may begin now; returns whether it did.
     pub fn begin(&mut self, now: TimePoint, address: SocketAddr) -> bool {
-        let is_idle = |at: &TimePoint| now.since(*at) >= FETCH_REST;
-        let may = !self.open.contains_key(&address)
-            && self.open.len() < MOST_FETCHES
-            && self.open.values().all(is_idle);
-        if may {
-            self.open.insert(address, now);
+        let is_idle = |at: &TimePoint| now.since(*at) >= FETCH_IDLE;
+        let may_begin = !self.in_flight.contains_key(&address)
+            && self.in_flight.len() < MAX_FETCHES
+            && self.in_flight.values().all(is_idle);
+        if may_begin {
+            self.in_flight.insert(address, now);
         }
-        may
+        may_begin
     }
 
-    /// A piece has come.
+    /// Records that a piece was received.
     pub fn record_progress(&mut self, now: TimePoint, address: SocketAddr) {
-        if let Some(at) = self.open.get_mut(&address) {
+        if let Some(at) = self.in_flight.get_mut(&address) {
             *at = now;
         }
     }
 
-    /// When something last came of any of the fetches under way, or one began.
+    /// Time of the last progress of any fetch in flight; the start of a fetch counts as progress.
     pub fn last_progress_at(&self) -> Option<TimePoint> {
-        self.open.values().copied().max()
+        self.in_flight.values().copied().max()
     }
 
-    /// The fetch has ended, or was given up.
+    /// Ends a fetch that completed or was abandoned.
     pub fn end(&mut self, address: SocketAddr) {
-        self.open.remove(&address);
+        self.in_flight.remove(&address);
     }
 }
