--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -1,4 +1,4 @@
-//! The view of the backend servers: changes, lapses near an outage, and what hosts tell each other.
+//! The view of the backend servers: changes, entries that expire near an outage, and updates between hosts.
 
 use std::time::Duration;
 use tealcleat::fleet::{FleetChange, FleetView, ServerEntry, ServerState};
@@ -37,7 +37,7 @@
     view
 }
 
-/// An entry that names no server to use is no lapse: no outage keeps its server.
+/// An unusable entry has not expired, so its server is removed at once even near an outage.
 #[test]
 fn unusable_entry_takes_effect_at_once_near_an_outage() {
     let mut view = view_of(&["a", "b"]);
@@ -46,13 +46,13 @@
     view.apply(at(5010), 12, vec![FleetChange::Unusable(ServerKey::of("a"))]);
     assert_eq!(ready_ids(&view), ["b"]);
     assert_eq!(view.revision(), 12);
-    let news = view.update_since(at(5020), 10);
-    assert_eq!(news.removed, [(ServerKey::of("a"), 12)]);
+    let update = view.update_since(at(5020), 10);
+    assert_eq!(update.removed, [(ServerKey::of("a"), 12)]);
 }
 
-/// A listing that lacks a server keeps it near an outage, unless the entry is there and unusable.
+/// Near an outage a server missing in a listing is kept, unless its entry exists and is unusable.
 #[test]
-fn unusable_entry_of_a_listing_ends_a_lapse() {
+fn unusable_entry_removes_expired_server() {
     let mut view = view_of(&["a", "b"]);
     view.record_store_answer(at(0), Duration::ZERO);
     view.record_store_answer(at(5000), Duration::ZERO);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn unusable_entry_of_an_unknown_server_moves_the_revision_on() {
+fn unusable_entry_of_an_unknown_server_advances_the_revision() {
     let mut view = view_of(&["a"]);
     view.apply(at(100), 12, vec![FleetChange::Unusable(ServerKey::of("c"))]);
     assert_eq!(ready_ids(&view), ["a"]);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn removal_in_calm_takes_effect_at_once() {
+fn removal_without_outage_takes_effect_at_once() {
     let mut view = view_of(&["a", "b"]);
     view.apply(at(100), 11, vec![FleetChange::Removed(ServerKey::of("a"))]);
     assert_eq!(ready_ids(&view), ["b"]);
@@ -86,19 +86,19 @@
 }
 
 #[test]
-fn lapse_near_outage_waits_for_its_return() {
+fn expired_entry_near_outage_is_kept_for_a_while() {
     let mut view = view_of(&["a", "b"]);
     view.record_store_answer(at(100), Duration::ZERO);
     view.record_store_answer(at(5000), Duration::ZERO);
     view.apply(at(5010), 12, vec![FleetChange::Removed(ServerKey::of("a"))]);
     assert_eq!(ready_ids(&view), ["a", "b"], "it may come back");
     assert!(view.expire(at(6900)).is_empty());
-    assert_eq!(view.expire(at(7300)).len(), 1, "still missing, so gone");
+    assert_eq!(view.expire(at(7300)).len(), 1, "still missing, so removed");
     assert_eq!(ready_ids(&view), ["b"]);
 }
 
-/// Bench: panelbridge-kr hunt-131b-3 (DRAIN). The store had turned this host away and served the
-/// others; the host took a removal just after its own return for a lapse and used the server on.
+/// Guards against a host that takes its own refusal by the store for an outage: while the store still
+/// served the other hosts, the host kept using a server that was removed just after its own recovery.
 #[test]
 fn removal_after_own_refusal_takes_effect_at_once() {
     let mut view = view_of(&["a", "b"]);
@@ -111,18 +111,18 @@
 }
 
 #[test]
-fn lapse_waits_at_hosts_that_only_heard_of_the_return() {
+fn expired_entry_is_kept_at_hosts_told_of_the_recovery() {
     let mut view = view_of(&["a", "b"]);
     view.record_store_answer(at(100), Duration::ZERO);
     view.record_store_answer(at(5200), Duration::from_millis(200));
     view.record_store_answer(at(5300), Duration::ZERO);
     view.apply(at(5310), 12, vec![FleetChange::Removed(ServerKey::of("a"))]);
     assert_eq!(ready_ids(&view), ["a", "b"], "it may come back");
-    assert_eq!(view.expire(at(7250)).len(), 1, "2.2 s after the store's return");
+    assert_eq!(view.expire(at(7250)).len(), 1, "2.2 s after the store's recovery");
 }
 
 #[test]
-fn lapsed_entry_that_returns_stays() {
+fn expired_entry_that_returns_stays() {
     let mut view = view_of(&["a"]);
     view.record_store_answer(at(100), Duration::ZERO);
     view.record_store_answer(at(5000), Duration::ZERO);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn draining_server_that_goes_near_outage_is_gone() {
+fn draining_server_removed_near_outage_is_gone() {
     let mut view = view_of(&["a", "b"]);
     view.apply(at(100), 11, vec![FleetChange::Updated(server("a", ServerState::Draining))]);
     view.record_store_answer(at(100), Duration::ZERO);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn adopted_view_keeps_the_time_left_of_lapses() {
+fn applied_update_keeps_remaining_expiry_time() {
     let mut first = view_of(&["a", "b"]);
     first.record_store_answer(at(100), Duration::ZERO);
     first.record_store_answer(at(5000), Duration::ZERO);
@@ -163,38 +163,38 @@
     assert_eq!(second.expire(at(1400)).len(), 1, "1.2 s were left");
 }
 
-/// Pattern: changes of few servers among hundreds, told to every host. Whole views were 24 KB each
-/// for 266 servers and 270 KB for 3,000.
+/// Guards against sending whole views when a few servers among hundreds change: a whole view takes
+/// 24 KB for 266 servers and 270 KB for 3,000, and would go to every host.
 #[test]
-fn news_since_tells_only_what_changed() {
-    let names: Vec<String> = (0..300).map(|place| format!("server-{place}")).collect();
+fn update_since_contains_only_changes() {
+    let names: Vec<String> = (0..300).map(|index| format!("server-{index}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut first = view_of(&names);
     let mut second = FleetView::default();
     second.apply_update(at(0), first.update_since(at(0), second.revision()));
     first.apply(at(100), 11, vec![FleetChange::Removed(ServerKey::of("server-7"))]);
     first.apply(at(200), 14, vec![FleetChange::Updated(server("server-8", ServerState::Draining))]);
-    let news = first.update_since(at(300), second.revision());
-    assert!(news.is_partial);
-    assert_eq!((news.servers.len(), news.removed.len()), (1, 1));
-    second.apply_update(at(300), news);
+    let update = first.update_since(at(300), second.revision());
+    assert!(update.is_partial);
+    assert_eq!((update.servers.len(), update.removed.len()), (1, 1));
+    second.apply_update(at(300), update);
     assert_eq!(ready_ids(&second), ready_ids(&first));
     assert_eq!(second.revision(), 14);
 }
 
 #[test]
-fn news_since_an_unknown_revision_tells_all() {
+fn update_since_an_unknown_revision_contains_all() {
     let mut view = view_of(&["a", "b"]);
     view.apply(at(100), 11, vec![FleetChange::Removed(ServerKey::of("a"))]);
-    let news = view.update_since(at(200), 9);
-    assert!(!news.is_partial, "changes before the listing at 10 are not known one by one");
+    let update = view.update_since(at(200), 9);
+    assert!(!update.is_partial, "single changes before the listing at 10 are not known");
     let mut behind = view_of(&["a", "c"]);
-    behind.apply_update(at(200), news);
+    behind.apply_update(at(200), update);
     assert_eq!(ready_ids(&behind), ["b"]);
 }
 
 #[test]
-fn news_since_tells_of_servers_that_returned_and_lapsed() {
+fn update_since_contains_servers_that_returned_and_expired() {
     let mut first = view_of(&["a", "b", "c"]);
     let mut second = view_of(&["a", "b", "c"]);
     first.apply(at(100), 11, vec![FleetChange::Removed(ServerKey::of("a"))]);
@@ -207,22 +207,22 @@
     assert_eq!(ready_ids(&second), ["a", "c"]);
 }
 
-/// A listing again after a lost history must not lose what the listing no longer has.
+/// A second listing after a lost history must report the servers that it no longer contains.
 #[test]
-fn news_since_covers_a_second_listing() {
+fn update_since_covers_a_second_listing() {
     let mut first = view_of(&["a", "b"]);
     let mut second = view_of(&["a", "b"]);
     first.replace_all(at(100), 20, vec![server("b", ServerState::Ready)]);
-    let news = first.update_since(at(200), 10);
-    assert!(news.is_partial);
-    second.apply_update(at(200), news);
+    let update = first.update_since(at(200), 10);
+    assert!(update.is_partial);
+    second.apply_update(at(200), update);
     assert_eq!(ready_ids(&second), ["b"]);
 }
 
-/// A first version compared the newest revision of both parts: hosts whose list of servers was
-/// newer than the configuration never asked for it (bench: halvorsen-book scale-1, CONFIG).
+/// Guards against comparing only the newest revision of both parts: a host whose list of servers is
+/// newer than its configuration would never fetch the configuration.
 #[test]
-fn view_mark_behind_in_either_part() {
+fn is_behind_in_either_part() {
     let mark = |config_version, fleet_revision| ViewMark { config_version, fleet_revision };
     assert!(mark(3, 25).is_behind(mark(6, 24)));
     assert!(mark(6, 24).is_behind(mark(3, 25)));
--- a/tests/role_common/mod.rs
+++ b/tests/role_common/mod.rs
@@ -1,9 +1,9 @@
-//! What decides whether a host asks the store itself, shared by tests.
+//! Inputs of the decision how a host follows the store, shared by tests.
 
 use std::time::Duration;
 use tealcleat::fleet::RoleInput;
 
-/// A host of a small failure domain that lacks nothing and hears from the others what is new.
+/// A host of a small failure domain whose view is complete and that receives updates from other hosts.
 pub fn calm_input() -> RoleInput {
     RoleInput {
         without_view_for: None,
