--- a/tests/entry_common/mod.rs
+++ b/tests/entry_common/mod.rs
@@ -1,5 +1,5 @@
-//! Servers' entries of which one field is left out or replaced, and what a daemon makes of them, shared by
-//! tests.
+//! Servers' entries with one field missing or replaced, and helpers to check a daemon's view of them, shared
+//! by tests.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -8,12 +8,12 @@
 use tealcleat::bench::site::{SitePlan, TestSite};
 use tealcleat::keys::ServerKey;
 
-const LOOK: Duration = Duration::from_millis(10);
-/// The limit of a wait only ends a failed test.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Timeout of a wait; it is reached only by a failing test.
 pub const LONGEST_WAIT: Duration = Duration::from_secs(8);
-/// Id of an entry that another writer made.
+/// Id of an entry made by another writer.
 pub const FOREIGN: &str = "i-foreign";
-/// A server of the plain service that is known before its entry changes.
+/// Id of a server of the plain service that is known before its entry changes.
 pub const KNOWN: &str = "i-service-0";
 
 /// A site with some daemons.
@@ -21,11 +21,11 @@
     TestSite::start(SitePlan { hosts, ..SitePlan::default() }).await.expect("a site")
 }
 
-/// Waits for what must come.
+/// Waits until `is_so`, and panics with `what` if that takes too long.
 pub async fn wait_until(what: &str, is_so: impl Fn() -> bool) {
     let wait = async {
         while !is_so() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
     tokio::time::timeout(LONGEST_WAIT, wait).await.unwrap_or_else(|_elapsed| panic!("{what}"));
@@ -51,7 +51,7 @@
     site.hosts[0].host.state().fleet.entry(ServerKey::of(id)).is_some()
 }
 
-/// All servers of the site hold, but for `without`, and there is no other one.
+/// Asserts that the first daemon knows all servers of the site except `without`, and no others.
 pub fn assert_servers(site: &TestSite, without: Option<&str>) {
     let state = site.hosts[0].host.state();
     let mut known: Vec<&str> = state.fleet.entries().map(|entry| entry.id.as_str()).collect();
@@ -62,23 +62,23 @@
     assert_eq!(known, expected);
 }
 
-/// What becomes of one field of an entry that is complete otherwise.
+/// A change of one field of an otherwise complete entry.
 #[derive(Debug, Clone, Copy)]
 pub enum FieldChange {
-    /// It is left out.
+    /// The field is missing.
     LeftOut(&'static str),
-    /// It holds these bytes, which may be no JSON; a field that the entry lacks is added.
+    /// The field holds these bytes, which may be invalid JSON; it is added if the entry does not have it.
     Holds(&'static str, &'static [u8]),
 }
 
 /// The bytes of a complete entry of a server of the plain service.
 pub fn whole_spec(address: SocketAddr) -> Vec<u8> {
-    spec_of(&whole_fields(address))
+    spec_of(&complete_fields(address))
 }
 
 /// The bytes of an entry with one field changed.
 pub fn changed_spec(address: SocketAddr, change: FieldChange) -> Vec<u8> {
-    let mut fields = whole_fields(address);
+    let mut fields = complete_fields(address);
     match change {
         FieldChange::LeftOut(field) => fields.retain(|(name, _)| *name != field),
         FieldChange::Holds(field, bytes) => {
@@ -89,7 +89,7 @@
     spec_of(&fields)
 }
 
-fn whole_fields(address: SocketAddr) -> Vec<(&'static str, Vec<u8>)> {
+fn complete_fields(address: SocketAddr) -> Vec<(&'static str, Vec<u8>)> {
     vec![
         ("service", b"\"app\"".to_vec()),
         ("address", format!("\"{address}\"").into_bytes()),
--- a/tests/many_changes.rs
+++ b/tests/many_changes.rs
@@ -1,4 +1,4 @@
-//! News of more changes and loads than one datagram holds.
+//! Updates with more changes and loads than fit into one datagram.
 
 use std::time::Duration;
 use tealcleat::bench::site::{SitePlan, TestSite};
@@ -10,31 +10,31 @@
 
 use site_common::runtime;
 
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-fn server(place: u64) -> ServerKey {
-    NameKey::of(&format!("i-{place}"))
+fn server(index: u64) -> ServerKey {
+    NameKey::of(&format!("i-{index}"))
 }
 
 const CHANGES: u64 = 450;
-/// A minute of looks ends a test that would not end, with what it waited for.
-const MOST_LOOKS: usize = 3000;
+/// Limit of polls, one minute, after which a test fails with what it waited for.
+const MAX_POLLS: usize = 3000;
 
-/// Two daemons, the first of which has ordered hundreds of changes.
+/// A site with two daemons, the first of which orders the changes.
 async fn ordering_site() -> TestSite {
     let plan = SitePlan { hosts: 2, ..SitePlan::default() };
     TestSite::start(plan).await.expect("a site")
 }
 
-/// Orders the changes again: a daemon that does not give the orders forgets them, and so does one that finds no engine there.
-fn record_order(site: &TestSite) {
+/// Records the orders again: a daemon drops them if it is not the one that gives orders or does not find the engines.
+fn record_orders(site: &TestSite) {
     let mut state = site.hosts[0].host.state();
     for place in 0..CHANGES {
         state.changes.record_order(server(place), ServerStage::Decode);
     }
 }
 
-/// What a test that does not end waited for.
+/// Describes what a test waited for when it timed out.
 fn waiting(site: &TestSite, known: usize) -> String {
     let hosts = &site.hosts;
     let ordered = hosts[0].host.state().changes.ordered().count();
@@ -43,45 +43,45 @@
     format!("{known} known of {ordered} ordered; hosts met by each: {met:?}")
 }
 
-/// Guards against news that stand in a part of a datagram which is cut off, or in one that is never told. Pattern: hundreds of
-/// engines of a large fleet are ordered to change their stage at once; every host refused the one datagram.
+/// Guards against changes that are lost in a truncated datagram or never sent. If hundreds of engines of a large fleet are
+/// ordered to change their stage at once, one datagram with all of them is too long, and every host rejects it.
 #[test]
 fn hundreds_of_changes_reach_another_host() {
     runtime().block_on(async {
         let site = ordering_site().await;
-        let (mut known, mut looks) = (0, 0);
+        let (mut known, mut polls) = (0, 0);
         while known < CHANGES as usize {
-            looks += 1;
-            assert!(looks < MOST_LOOKS, "{}", waiting(&site, known));
-            record_order(&site);
+            polls += 1;
+            assert!(polls < MAX_POLLS, "{}", waiting(&site, known));
+            record_orders(&site);
             site.hosts[0].host.tell_everyone();
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             let host = &site.hosts[1].host;
             known = host.state().changes.announced(host.now()).count();
         }
     });
 }
 
-/// Guards against loads that are lost with the changes which their news name.
+/// Guards against loads that are lost because of the changes in the same update.
 #[test]
-fn loads_are_told_beside_hundreds_of_changes() {
+fn loads_are_sent_with_hundreds_of_changes() {
     runtime().block_on(async {
         let site = ordering_site().await;
         let load = ServerLoad { requests: 1, ..ServerLoad::default() };
-        let (mut known, mut looks) = (0, 0);
+        let (mut known, mut polls) = (0, 0);
         while known == 0 {
-            looks += 1;
-            assert!(looks < MOST_LOOKS, "{}", waiting(&site, known as usize));
-            record_order(&site);
+            polls += 1;
+            assert!(polls < MAX_POLLS, "{}", waiting(&site, known as usize));
+            record_orders(&site);
             site.hosts[0].host.state().board.add(server(CHANGES), load);
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             known = site.hosts[1].host.state().board.total(server(CHANGES)).requests;
         }
     });
 }
 
 #[test]
-fn heaviest_loads_are_told_first() {
+fn heaviest_loads_are_sent_first() {
     let mut board = LoadTable::default();
     for place in 0..300 {
         let memory_tokens = 1_000 + place as u32;
@@ -89,7 +89,7 @@
             .add(server(place), ServerLoad { requests: 1, memory_tokens, ..ServerLoad::default() });
     }
     assert_eq!(board.heaviest_own(1_000).len(), 300);
-    let told = board.heaviest_own(128);
-    assert_eq!(told.len(), 128);
-    assert!(told.iter().all(|(_, load)| load.memory_tokens >= 1_172));
+    let sent = board.heaviest_own(128);
+    assert_eq!(sent.len(), 128);
+    assert!(sent.iter().all(|(_, load)| load.memory_tokens >= 1_172));
 }
--- a/tests/message_sizes.rs
+++ b/tests/message_sizes.rs
@@ -1,5 +1,5 @@
-//! What hosts hand each other grows with the fleet by so many bytes a server and a host; the capacity page reckons with
-//! these.
+//! Sizes of messages between hosts, which grow with the number of servers and hosts; the documented capacity depends on
+//! these limits.
 
 use serde::Serialize;
 use std::net::SocketAddr;
@@ -7,18 +7,18 @@
 use tealcleat::keys::{IncarnationId, NameKey, TimePoint};
 use tealcleat::membership::MemberUpdate;
 
-/// Addresses and ids as they are on a platform of many machines.
-fn address(place: usize) -> SocketAddr {
-    let (high, low) = (place / 250 % 250, place % 250);
+/// An address as on a platform with many machines.
+fn address(index: usize) -> SocketAddr {
+    let (high, low) = (index / 250 % 250, index % 250);
     SocketAddr::from(([10, 1, high as u8, low as u8], 8688))
 }
 
-fn server(place: usize) -> ServerEntry {
+fn server(index: usize) -> ServerEntry {
     ServerEntry {
-        id: format!("i-{place:010x}"),
-        started_at: Some(1_792_691_007_128 + place as u64),
+        id: format!("i-{index:010x}"),
+        started_at: Some(1_792_691_007_128 + index as u64),
         service: NameKey::of("engines"),
-        address: address(place),
+        address: address(index),
         domain: NameKey::of("a"),
         state: ServerState::Ready,
         stage: Some(ServerStage::Decode),
@@ -29,11 +29,11 @@
 
 fn bytes<T: Serialize>(message: &T) -> usize {
     let config = bincode::config::standard();
-    bincode::serde::encode_to_vec(message, config).expect("it can be written").len()
+    bincode::serde::encode_to_vec(message, config).expect("it can be encoded").len()
 }
 
 #[test]
-fn view_handed_over_by_the_server() {
+fn view_size_per_server() {
     let now = TimePoint::from_millis(1);
     let mut view = FleetView::default();
     view.replace_all(now, 12_000, (0..1_000).map(server).collect());
@@ -42,11 +42,11 @@
 }
 
 #[test]
-fn table_of_members_by_the_host() {
+fn member_table_size_per_host() {
     let domain = NameKey::of("a");
-    let member = |place: usize| {
-        let incarnation = IncarnationId((1_792_691_007_128 << 22) | place as u64);
-        MemberUpdate::started(incarnation, address(place), domain)
+    let member = |index: usize| {
+        let incarnation = IncarnationId((1_792_691_007_128 << 22) | index as u64);
+        MemberUpdate::started(incarnation, address(index), domain)
     };
     let table: Vec<MemberUpdate> = (0..1_000).map(member).collect();
     let whole = bytes(&table);
--- a/tests/organisations.rs
+++ b/tests/organisations.rs
@@ -1,4 +1,4 @@
-//! Who may call: keys of organisations, and how old the configuration that names them may be.
+//! Authentication of callers: keys of organisations and the age of the configuration that contains them.
 
 use rstest::rstest;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 };
 use tealcleat::platform::decode_config;
 
-const LONGEST: Duration = Duration::from_millis(4900);
+const MAX_AGE: Duration = Duration::from_millis(4900);
 
 fn hasher() -> KeyHasher {
     KeyHasher::new("a-shared-key-of-tests")
@@ -52,7 +52,7 @@
 ) {
     let digest: Option<KeyDigest> = (!key.is_empty()).then(|| hasher().digest(key));
     let age = Duration::from_millis(age_ms);
-    let permission = check_permission(&directory(), is_public, digest, age, Some(LONGEST));
+    let permission = check_permission(&directory(), is_public, digest, age, Some(MAX_AGE));
     assert_eq!(name_of(&permission), expected);
 }
 
@@ -60,7 +60,7 @@
 fn permission_without_organisations_needs_no_key() {
     let digest = Some(hasher().digest("any"));
     let empty = OrgDirectory::default();
-    let permission = check_permission(&empty, false, digest, Duration::MAX, Some(LONGEST));
+    let permission = check_permission(&empty, false, digest, Duration::MAX, Some(MAX_AGE));
     assert_eq!(permission, CallerPermission::Anonymous);
 }
 
@@ -98,7 +98,7 @@
 #[case::burst("burst", serde_json::json!(-0.5), "a limit that is no positive number")]
 #[case::name("name", serde_json::json!(""), "is no name of an organisation")]
 #[case::header("name", serde_json::json!("a\nb"), "is no name of an organisation")]
-fn decode_config_refuses(
+fn decode_config_rejects(
     #[case] field: &str,
     #[case] value: serde_json::Value,
     #[case] expected: &str,
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn directory_refuses_shared_key() {
+fn directory_rejects_shared_key() {
     let keys = vec![hasher().digest("same")];
     let organisation = |name: &str| {
         Arc::new(Organisation {
@@ -123,8 +123,8 @@
     let two = [organisation("hanbit"), organisation("moonbook")];
     let error = OrgDirectory::try_from(&two[..]).expect_err("it is wrong").to_string();
     assert!(error.contains("\"hanbit\" and \"moonbook\" have a key in common"), "{error}");
-    let twins = [organisation("hanbit"), organisation("hanbit")];
-    assert!(OrgDirectory::try_from(&twins[..]).is_err());
+    let duplicates = [organisation("hanbit"), organisation("hanbit")];
+    assert!(OrgDirectory::try_from(&duplicates[..]).is_err());
 }
 
 fn at(millis: u64) -> TimePoint {
@@ -132,57 +132,57 @@
 }
 
 #[test]
-fn age_counts_from_the_question() {
+fn age_counts_from_the_request() {
     let mut age = ConfigAge::default();
     assert_eq!(age.age(at(1000)), Duration::MAX);
-    let question = age.next_request(at(1000));
-    // The answer lay in a buffer for 4 s while this host was suspended.
-    age.apply_reply(AgeReply { sequence: question.sequence, version: 7, age_ms: 300 }, 7);
+    let request = age.next_request(at(1000));
+    // The reply stayed in a buffer for 4 s while this host was suspended.
+    age.apply_reply(AgeReply { sequence: request.sequence, version: 7, age_ms: 300 }, 7);
     assert_eq!(age.age(at(5000)), Duration::from_millis(4300));
 }
 
 #[test]
-fn age_unasked_proves_nothing() {
+fn unsolicited_age_is_ignored() {
     let mut age = ConfigAge::default();
-    let question = age.next_request(at(1000));
-    let answer = AgeReply { sequence: question.sequence, version: 7, age_ms: 300 };
-    age.apply_reply(AgeReply { sequence: question.sequence + 1, ..answer }, 7);
+    let request = age.next_request(at(1000));
+    let reply = AgeReply { sequence: request.sequence, version: 7, age_ms: 300 };
+    age.apply_reply(AgeReply { sequence: request.sequence + 1, ..reply }, 7);
     assert_eq!(age.age(at(1100)), Duration::MAX);
-    age.apply_reply(answer, 7);
-    let heard = age.age(at(2000));
-    // A doubled answer settles nothing twice.
-    age.apply_reply(AgeReply { age_ms: 0, ..answer }, 7);
-    assert_eq!(age.age(at(2000)), heard);
+    age.apply_reply(reply, 7);
+    let first_age = age.age(at(2000));
+    // A duplicated reply is ignored.
+    age.apply_reply(AgeReply { age_ms: 0, ..reply }, 7);
+    assert_eq!(age.age(at(2000)), first_age);
 }
 
 #[test]
 fn age_of_a_newer_configuration_does_not_count() {
     let mut age = ConfigAge::default();
-    let question = age.next_request(at(1000));
-    age.apply_reply(AgeReply { sequence: question.sequence, version: 8, age_ms: 10 }, 7);
+    let request = age.next_request(at(1000));
+    age.apply_reply(AgeReply { sequence: request.sequence, version: 8, age_ms: 10 }, 7);
     assert_eq!(age.age(at(1100)), Duration::MAX);
-    let question = age.next_request(at(1200));
-    age.apply_reply(AgeReply { sequence: question.sequence, version: 6, age_ms: 10 }, 7);
+    let request = age.next_request(at(1200));
+    age.apply_reply(AgeReply { sequence: request.sequence, version: 6, age_ms: 10 }, 7);
     assert_eq!(age.age(at(1300)), Duration::from_millis(110));
 }
 
 #[test]
-fn answer_never_makes_an_age_younger() {
-    let mut asked = ConfigAge::default();
-    let question = ConfigAge::default().next_request(at(0));
-    assert_eq!(asked.reply(at(500), question, 7), None);
-    asked.record_complete(at(400));
-    let answer = asked.reply(at(500), question, 7).expect("it knows");
-    assert!(Duration::from_millis(answer.age_ms.into()) >= asked.age(at(500)));
-    // What comes late does not make it older.
-    asked.record_complete(at(300));
-    assert_eq!(asked.age(at(500)), Duration::from_millis(100));
+fn reply_never_understates_an_age() {
+    let mut age = ConfigAge::default();
+    let request = ConfigAge::default().next_request(at(0));
+    assert_eq!(age.reply(at(500), request, 7), None);
+    age.record_complete(at(400));
+    let reply = age.reply(at(500), request, 7).expect("the age is known");
+    assert!(Duration::from_millis(reply.age_ms.into()) >= age.age(at(500)));
+    // An earlier time does not increase the age.
+    age.record_complete(at(300));
+    assert_eq!(age.age(at(500)), Duration::from_millis(100));
 }
 
 #[rstest]
 #[case::at_once(1000, false)]
 #[case::late(1400, true)]
-fn question_unanswered_after_a_while(#[case] now_ms: u64, #[case] expected: bool) {
+fn request_unanswered_after_a_while(#[case] now_ms: u64, #[case] expected: bool) {
     let mut age = ConfigAge::default();
     age.next_request(at(1000));
     assert_eq!(age.has_unanswered_request(at(now_ms), Duration::from_millis(300)), expected);
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Daemons and operators must prove who they are; broken frames end nothing but their connection.
+//! Authentication of daemons and operators; an invalid frame ends only its own connection.
 
 mod common;
 
@@ -27,16 +27,16 @@
 }
 
 #[test]
-fn silent_and_broken_connections_end_alone() {
+fn invalid_connections_do_not_affect_others() {
     let fleet = LocalFleet::start();
     let address = fleet.daemons[0].peers;
     let mut garbage = TcpStream::connect(address).expect("it accepts");
     garbage.write_all(&[7; 200]).expect("it reads");
     let mut answer = Vec::new();
     let _ = garbage.read_to_end(&mut answer);
-    // A proof was offered, and nothing else: not one frame was decoded.
+    // The server sent only its proof, so it decoded no frame.
     assert_eq!(answer.len(), 64);
-    // Proven, but what follows is no h2.
+    // The proof is valid, but what follows is not h2.
     fleet.runtime.block_on(async {
         let mut stream = tokio::net::TcpStream::connect(address).await.expect("it accepts");
         prove_as_client(&mut stream, SHARED_KEY).await.expect("the proof holds");
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn frame_with_bytes_left_over_is_broken() {
+fn frame_with_trailing_bytes_is_invalid() {
     let mut bytes = encode(&PeerRequest::Config(3)).expect("encoded");
     bytes.push(0);
     assert!(matches!(decode::<PeerRequest>(&bytes), Err(Error::Protocol(_))));
@@ -66,7 +66,7 @@
 #[rstest]
 #[case::wrong_key("wrong", "401: the operator key is missing or wrong")]
 #[case::right_key(OPERATOR_KEY, "404: no route for \"/none\"")]
-fn operators_prove_themselves(#[case] key: &str, #[case] refusal: &str) {
+fn operators_must_authenticate(#[case] key: &str, #[case] refusal: &str) {
     let fleet = LocalFleet::unconfigured();
     let error = operator_call(fleet.daemons[0].operators, key, "GET", "/none", "")
         .expect_err("there is no such route");
--- a/tests/route_updates.rs
+++ b/tests/route_updates.rs
@@ -1,4 +1,4 @@
-//! Configurations that hosts tell each other: only routes that the other one lacks are sent.
+//! Configuration updates between hosts: only routes that the receiver does not have are sent.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -38,7 +38,7 @@
     table.parts().routes.iter().map(|route| (route.name.as_str(), &**route)).collect()
 }
 
-/// Some routes are dropped, some moved, some added.
+/// Drops some routes, moves some to another service and adds some.
 fn changed(random: &mut StdRng, routes: &[Arc<Route>], part: f64) -> Vec<Arc<Route>> {
     let mut next = Vec::new();
     for (name, known) in routes.iter().enumerate() {
@@ -49,7 +49,7 @@
         }
     }
     let added = random.random_range(0..5);
-    next.extend((0..added).map(|place| route(routes.len() + place, "app")));
+    next.extend((0..added).map(|index| route(routes.len() + index, "app")));
     next
 }
 
@@ -59,42 +59,42 @@
 #[case::thousands(4000, 0.001)]
 #[case::nearly_all_changed(500, 0.9)]
 #[case::nothing_changed(500, 0.0)]
-fn told_table_is_the_tellers(#[case] count: usize, #[case] part: f64) {
+fn updated_table_equals_the_senders(#[case] count: usize, #[case] part: f64) {
     for seed in 0..40 {
         let mut random = StdRng::seed_from_u64(seed);
         let routes: Vec<_> = (0..count).map(|name| route(name, "app")).collect();
         let known = table(3, routes.clone());
         let newer = table(9, changed(&mut random, &routes, part));
-        let news = RouteUpdate::of(&newer, REVISION, known.digest().as_ref());
-        let told = news.apply_to(&known).expect("it fits");
-        assert_eq!(told.version(), 9);
-        assert_eq!(by_name(&told), by_name(&newer), "seed {seed}");
+        let update = RouteUpdate::of(&newer, REVISION, known.digest().as_ref());
+        let updated = update.apply_to(&known).expect("it applies");
+        assert_eq!(updated.version(), 9);
+        assert_eq!(by_name(&updated), by_name(&newer), "seed {seed}");
     }
 }
 
 #[test]
-fn one_changed_route_of_thousands_costs_little() {
+fn one_changed_route_of_thousands_sends_few_bytes() {
     let mut routes: Vec<_> = (0..4000).map(|name| route(name, "app")).collect();
     let known = table(3, routes.clone());
     routes[17] = route(17, "another");
     let newer = table(4, routes);
     let digest = known.digest();
-    let news = RouteUpdate::of(&newer, REVISION, digest.as_ref());
+    let update = RouteUpdate::of(&newer, REVISION, digest.as_ref());
     let whole = encode(&RouteUpdate::of(&newer, REVISION, None)).expect("encoded").len();
-    let told = encode(&news).expect("encoded").len() + encode(&digest).expect("encoded").len();
-    assert!(news.route_count() < 40, "{}", news.route_count());
-    assert!(told * 20 < whole, "{told} of {whole} bytes");
+    let sent = encode(&update).expect("encoded").len() + encode(&digest).expect("encoded").len();
+    assert!(update.route_count() < 40, "{}", update.route_count());
+    assert!(sent * 20 < whole, "{sent} of {whole} bytes");
 }
 
-/// A host that has gone on to another version while it waited would make a mixture of both.
+/// Guards against a mix of two versions, if the host adopts another version while it waits for the update.
 #[test]
-fn changes_that_do_not_fit_are_refused() {
+fn changes_to_another_table_are_rejected() {
     let routes: Vec<_> = (0..300).map(|name| route(name, "app")).collect();
     let known = table(3, routes.clone());
     let mut newer = routes.clone();
     newer.push(route(300, "app"));
-    let news = RouteUpdate::of(&table(4, newer), REVISION, known.digest().as_ref());
+    let update = RouteUpdate::of(&table(4, newer), REVISION, known.digest().as_ref());
     let mut other = routes;
     other[5] = route(5, "another");
-    assert!(news.apply_to(&table(3, other)).is_err());
+    assert!(update.apply_to(&table(3, other)).is_err());
 }
--- a/tests/server_entries.rs
+++ b/tests/server_entries.rs
@@ -1,4 +1,4 @@
-//! What a server's entry must hold to name a server.
+//! Validation of servers' entries.
 
 use entry_common::FieldChange::{self, Holds, LeftOut};
 use entry_common::{changed_spec, whole_spec};
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn whole_entry_names_its_server() {
+fn complete_entry_is_accepted() {
     let entry = decode(&whole_spec(address())).expect("a server");
     assert_eq!(entry.id, "i-1");
     assert_eq!(entry.service, NameKey::of("app"));
@@ -43,7 +43,7 @@
 #[case::stage_null(Holds("stage", b"null"), ServerState::Ready, None)]
 #[case::start_unknown(LeftOut("born"), ServerState::Ready, None)]
 #[case::further_field(Holds("models", b"[]"), ServerState::Ready, None)]
-fn entry_names_its_server(
+fn changed_entry_is_accepted(
     #[case] change: FieldChange,
     #[case] state: ServerState,
     #[case] stage: Option<ServerStage>,
@@ -85,7 +85,7 @@
 #[case::born_fraction(Holds("born", b"1700000000000.5"))]
 #[case::born_negative(Holds("born", b"-1"))]
 #[case::born_null(Holds("born", b"null"))]
-fn entry_names_no_server(#[case] change: FieldChange) {
+fn invalid_entry_is_rejected(#[case] change: FieldChange) {
     assert_eq!(decode(&changed_spec(address(), change)), None);
 }
 
@@ -95,26 +95,26 @@
 #[case::number(json!(7))]
 #[case::empty(json!({}))]
 #[case::fields_in_a_list(json!(["app", "127.0.0.1:7001", "a", 8, "ready", null, 1]))]
-fn contents_name_no_server(#[case] spec: Value) {
+fn invalid_contents_are_rejected(#[case] spec: Value) {
     decode_server(&object(spec)).expect_err("no server");
 }
 
-/// Requests name the server that they are meant for in a header.
+/// Ids are sent in a header of requests, so they must be valid header values.
 #[rstest]
 #[case::empty("")]
 #[case::line_end("i-1\r\nx: y")]
 #[case::no_ascii("i-é")]
-fn id_names_no_server(#[case] id: &str) {
+fn invalid_id_is_rejected(#[case] id: &str) {
     let spec = serde_json::from_slice(&whole_spec(address())).expect("JSON");
-    let nameless = StoreObject { name: id.to_owned(), ..object(spec) };
-    decode_server(&nameless).expect_err("no server");
+    let unnamed = StoreObject { name: id.to_owned(), ..object(spec) };
+    decode_server(&unnamed).expect_err("no server");
 }
 
 fn is_text(value: Option<&Value>) -> bool {
     value.and_then(Value::as_str).is_some_and(|text| !text.is_empty())
 }
 
-/// Said of the page's own words, apart from the decoder.
+/// Validates an entry by the platform's specification, independently of the decoder.
 fn is_well_formed(spec: &Map<String, Value>) -> bool {
     let text = |field: &str| spec.get(field).and_then(Value::as_str);
     let is_address = text("address").is_some_and(|text| text.parse::<SocketAddr>().is_ok());
@@ -150,18 +150,18 @@
     }
 }
 
-/// One to three fields of a whole entry hold anything: it names a server only if all is well formed.
+/// One to three fields of a complete entry hold random values: it is accepted only if it is well formed.
 #[test]
-fn random_entries_name_servers_only_if_well_formed() {
+fn random_entries_accepted_only_if_well_formed() {
     const SEED: u64 = 26;
     const ENTRIES: u32 = 20_000;
     const FIELDS: [&str; 7] = ["service", "address", "zone", "slots", "state", "stage", "born"];
     let mut random = StdRng::seed_from_u64(SEED);
-    let whole: Map<String, Value> =
+    let complete: Map<String, Value> =
         serde_json::from_slice(&whole_spec(address())).expect("an object");
-    let mut named = 0;
+    let mut accepted_count = 0;
     for _ in 0..ENTRIES {
-        let mut spec = whole.clone();
+        let mut spec = complete.clone();
         for _ in 0..random.random_range(1..=3) {
             let field = FIELDS[random.random_range(0..FIELDS.len())];
             if random.random_range(0..10) == 0 {
@@ -170,9 +170,9 @@
                 spec.insert(field.to_owned(), any_value(&mut random, 2));
             }
         }
-        let is_named = decode_server(&object(Value::Object(spec.clone()))).is_ok();
-        assert_eq!(is_named, is_well_formed(&spec), "{}", Value::Object(spec));
-        named += u32::from(is_named);
+        let is_accepted = decode_server(&object(Value::Object(spec.clone()))).is_ok();
+        assert_eq!(is_accepted, is_well_formed(&spec), "{}", Value::Object(spec));
+        accepted_count += u32::from(is_accepted);
     }
-    assert!(named > 0 && named < ENTRIES, "{named}");
+    assert!(accepted_count > 0 && accepted_count < ENTRIES, "{accepted_count}");
 }
--- a/tests/server_incarnations.rs
+++ b/tests/server_incarnations.rs
@@ -1,5 +1,5 @@
-//! Servers that start again under the id that they had, before a real daemon on the platform's stand-ins:
-//! what was believed of the former life says nothing of the new one.
+//! Servers that restart with the same id, with a real daemon and simulated platform services: the state of
+//! the former incarnation does not apply to the new one.
 
 use rstest::rstest;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 
 use site_common::{call, call_first_host, engine_runs, runtime, wait_released};
 
-const LOOK: Duration = Duration::from_millis(5);
-/// A load that makes another server the better choice, and one far above that.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// A load that makes another server the better choice, and one far higher.
 const SOME_MEMORY: u32 = 50_000;
 const MUCH_MEMORY: u32 = 200_000;
 
-/// A site with one daemon, all of whose servers say when their lives began.
-async fn born_site(plan: SitePlan) -> TestSite {
+/// A site whose servers all report their start times.
+async fn site_with_start_times(plan: SitePlan) -> TestSite {
     let mut site = TestSite::start(SitePlan { hosts: 0, ..plan }).await.expect("a site");
     for server in &site.servers {
         site.restart(&server.id, RestartPlace::Same).await.expect("a restart");
@@ -38,24 +38,24 @@
     find(&site.hosts[0].host.state().fleet, id).expect("an entry").key()
 }
 
-/// Restarts a server and waits until all daemons know its new life.
+/// Restarts a server and waits until all daemons know its new incarnation.
 async fn restart(site: &TestSite, id: &str, place: RestartPlace) {
     let born = site.restart(id, place).await.expect("a restart");
     for gateway in &site.hosts {
         while find(&gateway.host.state().fleet, id).and_then(|entry| entry.started_at) != Some(born)
         {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// The breaker of the only server is open when it comes back.
+/// The circuit breaker of the only server is open when the server comes back.
 #[rstest]
 #[case::same_address(RestartPlace::Same)]
 #[case::other_address(RestartPlace::Other)]
-fn restarted_server_not_left_out_for_its_former_life(#[case] place: RestartPlace) {
+fn restarted_server_not_skipped_for_its_former_incarnation(#[case] place: RestartPlace) {
     runtime().block_on(async {
-        let site = born_site(SitePlan { services: 1, ..SitePlan::default() }).await;
+        let site = site_with_start_times(SitePlan { services: 1, ..SitePlan::default() }).await;
         let host = &site.hosts[0].host;
         let key = key_of(&site, "i-service-0");
         for _ in 0..8 {
@@ -69,11 +69,11 @@
     });
 }
 
-/// What other hosts or this one have at the former life is gone with it: the new life is the best choice.
+/// The load of all hosts at the former incarnation ends with it, so the new incarnation is the best choice.
 #[test]
-fn restarted_server_free_of_the_load_of_its_former_life() {
+fn restarted_server_has_no_load_of_its_former_incarnation() {
     runtime().block_on(async {
-        let site = born_site(SitePlan::default()).await;
+        let site = site_with_start_times(SitePlan::default()).await;
         let keys = [key_of(&site, "i-decode-0"), key_of(&site, "i-decode-1")];
         for (key, memory_tokens) in keys.into_iter().zip([MUCH_MEMORY, SOME_MEMORY]) {
             let load = ServerLoad { memory_tokens, ..ServerLoad::default() };
@@ -82,16 +82,18 @@
         restart(&site, "i-decode-0", RestartPlace::Same).await;
         let reply = call_first_host(&site, &call("POST", "stream", "r1")).await;
         assert_eq!(reply.status, 200);
-        assert_eq!(site.decodes[0].runs().len(), 1, "it was not chosen");
+        assert_eq!(site.decodes[0].runs().len(), 1, "the restarted server was not chosen");
         wait_released(&site).await;
     });
 }
 
-/// The former life turned a read away, and was ordered to change its stage.
+/// The former incarnation rejected a prefill, and was ordered to change its stage.
 #[test]
-fn restarted_engine_free_of_the_changes_of_its_former_life() {
+fn restarted_engine_has_no_changes_of_its_former_incarnation() {
     runtime().block_on(async {
-        let site = born_site(SitePlan { prefills: 1, decodes: 1, ..SitePlan::default() }).await;
+        let site =
+            site_with_start_times(SitePlan { prefills: 1, decodes: 1, ..SitePlan::default() })
+                .await;
         let host = &site.hosts[0].host;
         let keys = [key_of(&site, "i-prefill-0"), key_of(&site, "i-decode-0")];
         {
@@ -112,21 +114,21 @@
     });
 }
 
-/// The only decode server crashes in the middle of a stream and is back: its new life, which lost no run,
-/// goes on with it.
+/// The only decode server crashes in the middle of a stream and restarts: its new incarnation, which lost no
+/// run, continues the stream.
 #[rstest]
 #[case::same_address(RestartPlace::Same)]
 #[case::other_address(RestartPlace::Other)]
-fn lost_stream_resumed_at_the_next_life_of_its_server(#[case] place: RestartPlace) {
+fn lost_stream_resumed_at_the_next_incarnation(#[case] place: RestartPlace) {
     runtime().block_on(async {
-        let site = born_site(SitePlan { decodes: 1, ..SitePlan::default() }).await;
+        let site = site_with_start_times(SitePlan { decodes: 1, ..SitePlan::default() }).await;
         site.decodes[0].set_fault(EngineFault::StallAfter(3));
         let resumed = call("POST", "resume", "r1");
         let crash = async {
             while site.decodes[0].runs().is_empty() {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
-            // Three events, of which the last one has to be on its way.
+            // Leaves time for the third event to be sent.
             tokio::time::sleep(Duration::from_millis(100)).await;
             restart(&site, "i-decode-0", place).await;
         };
@@ -139,18 +141,18 @@
     });
 }
 
-/// While a prompt is read, the decode server that holds memory for it starts again, and then the prefill
-/// server breaks off: the prompt is left to the decode server, whose new life knows no such hold.
+/// During a prefill the decode server that holds memory for the request restarts, and then the prefill server
+/// fails: the prompt is left to the decode server, whose new incarnation does not know the hold.
 #[test]
-fn hold_of_a_former_life_not_used() {
+fn hold_of_a_former_incarnation_not_used() {
     runtime().block_on(async {
         let plan = SitePlan { prefills: 1, decodes: 1, ..SitePlan::default() };
-        let site = born_site(plan).await;
+        let site = site_with_start_times(plan).await;
         site.prefills[0].set_fault(EngineFault::Silent);
         let slow = call("POST", "stream", "r1");
         let back = async {
             while site.decodes[0].open_holds() == 0 {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
             restart(&site, "i-decode-0", RestartPlace::Same).await;
             restart(&site, "i-prefill-0", RestartPlace::Same).await;
@@ -158,17 +160,17 @@
         let (reply, ()) = tokio::join!(call_first_host(&site, &slow), back);
         assert_eq!((reply.status.as_u16(), reply.complete), (200, true));
         let held: Vec<bool> = engine_runs(&site, "r1").iter().map(|run| run.held).collect();
-        assert_eq!(held, [true], "its hold was not one of this life");
+        assert_eq!(held, [true], "the hold is not one of this incarnation");
         wait_released(&site).await;
     });
 }
 
-/// An entry of a former life that the store shows later than that of its successor (its write was done
-/// late) changes nothing.
+/// An entry of a former incarnation that the store shows after that of its successor, because of a late
+/// write, changes nothing.
 #[test]
-fn late_entry_of_a_former_life_changes_nothing() {
+fn late_entry_of_a_former_incarnation_changes_nothing() {
     runtime().block_on(async {
-        let site = born_site(SitePlan { services: 1, ..SitePlan::default() }).await;
+        let site = site_with_start_times(SitePlan { services: 1, ..SitePlan::default() }).await;
         let host = &site.hosts[0].host;
         let former = site.store.spec("servers", "i-service-0").expect("an entry");
         restart(&site, "i-service-0", RestartPlace::Other).await;
@@ -179,7 +181,7 @@
             seen = objects.revision();
         });
         while host.state().fleet.revision() < seen {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         assert_eq!(find(&host.state().fleet, "i-service-0"), known);
         let reply = call_first_host(&site, &call("GET", "safe", "r1")).await;
@@ -187,53 +189,53 @@
     });
 }
 
-/// The daemon that does not watch the store hears of the new life from the other one.
+/// Daemons that do not watch the store receive the new incarnation from the one that does.
 #[test]
-fn new_life_known_to_hosts_that_hear_of_it() {
+fn new_incarnation_reaches_all_hosts() {
     runtime().block_on(async {
-        let site = born_site(SitePlan { hosts: 3, ..SitePlan::default() }).await;
+        let site = site_with_start_times(SitePlan { hosts: 3, ..SitePlan::default() }).await;
         let former = key_of(&site, "i-decode-0");
         restart(&site, "i-decode-0", RestartPlace::Other).await;
         for gateway in &site.hosts {
             let state = gateway.host.state();
-            let lives = state.fleet.entries().filter(|entry| entry.id == "i-decode-0");
-            assert_eq!(lives.count(), 1);
-            assert!(!state.fleet.is_ready(former), "the former life is gone");
+            let incarnations = state.fleet.entries().filter(|entry| entry.id == "i-decode-0");
+            assert_eq!(incarnations.count(), 1);
+            assert!(!state.fleet.is_ready(former), "the former incarnation is gone");
         }
     });
 }
 
-/// All engines that may be ordered to change their stage have started again, and their entries do not say
-/// so yet: their reports do. Nothing is ordered by the plan for the former lives; once the entries say so
-/// too, the new lives are ordered.
+/// All engines that can be ordered to change their stage have restarted, which their reports show but their
+/// entries do not yet. The plan for the former incarnations orders nothing; once the entries are updated, the
+/// new incarnations are ordered.
 #[test]
-fn restarted_engines_not_ordered_by_plans_for_their_former_lives() {
+fn restarted_engines_not_ordered_by_plans_for_former_incarnations() {
     runtime().block_on(async {
-        let site = born_site(SitePlan { prefills: 6, ..SitePlan::default() }).await;
+        let site = site_with_start_times(SitePlan { prefills: 6, ..SitePlan::default() }).await;
         for engine in &site.prefills {
             let born = engine.born().expect("a start") + 1_000_000;
             engine.restart(born, RestartPlace::Same).await.expect("a restart");
         }
-        note_little_to_read(&site);
+        record_low_prefill_work(&site);
         let sum = |count: fn(&SiteEngine) -> u64| {
             site.prefills.iter().map(|engine| count(engine)).sum::<u64>()
         };
-        // The next engine is asked after the first one was passed over, or was ordered and a rest has passed.
+        // The second engine is asked when the first one was skipped, or was ordered and a pause has passed.
         while sum(SiteEngine::reports) < 2 {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         assert_eq!(sum(|engine| engine.orders().len() as u64), 0);
         for server in site.servers.iter().filter(|server| server.stage == Some("prefill")) {
             site.state_server(&server.id, server.service, server.address, server.stage, "ready");
         }
         while sum(|engine| engine.orders().len() as u64) == 0 {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     });
 }
 
-/// Makes the first daemon believe that far fewer prefill servers are needed than there are.
-fn note_little_to_read(site: &TestSite) {
+/// Records work for which the first daemon needs far fewer prefill servers than there are.
+fn record_low_prefill_work(site: &TestSite) {
     let host = &site.hosts[0].host;
     let now = host.now();
     let mut state = host.state();
@@ -245,9 +247,9 @@
     }
 }
 
-/// Platforms of older pages do not say when a life began: there is one life of an id.
+/// Older platforms report no start times: each id has one incarnation.
 #[test]
-fn server_that_does_not_say_its_start_keeps_one_life() {
+fn server_without_start_time_keeps_one_incarnation() {
     runtime().block_on(async {
         let site = TestSite::start(SitePlan::default()).await.expect("a site");
         let key = ServerKey::of("i-decode-0");
@@ -255,7 +257,7 @@
         let server = site.servers.iter().find(|server| server.id == "i-decode-0").expect("one");
         site.state_server("i-decode-0", server.service, server.address, server.stage, "draining");
         while site.hosts[0].host.state().fleet.is_ready(key) {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         assert!(site.hosts[0].host.state().fleet.entry(key).is_some());
     });
--- a/tests/silent_peers.rs
+++ b/tests/silent_peers.rs
@@ -1,4 +1,4 @@
-//! Kept connections between hosts fall silent, without an end, while new ones work.
+//! Kept connections between hosts become silent without being closed, while new ones work.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 use site_common::runtime;
 
 const KEY: &str = "a-shared-key-of-tests";
-const PATIENCE: PeerTimeouts =
+const TIMEOUTS: PeerTimeouts =
     PeerTimeouts { reply: Duration::from_millis(300), pause: Duration::from_millis(300) };
-/// Asked for this number, the other side replies after longer than anybody waits.
+/// The other side replies to this number only after the client's timeout.
 const SLOW: u32 = 13;
 
-/// Replies with the number that it is asked for.
+/// Replies with the requested number.
 struct EchoHandler;
 
 impl PeerHandler for EchoHandler {
@@ -27,7 +27,7 @@
 
     async fn handle(self: Arc<Self>, request: u32) -> u32 {
         if request == SLOW {
-            tokio::time::sleep(PATIENCE.reply * 10).await;
+            tokio::time::sleep(TIMEOUTS.reply * 10).await;
         }
         request
     }
@@ -42,15 +42,15 @@
 }
 
 async fn call(client: &PeerClient, address: SocketAddr, number: u32) -> Option<u32> {
-    client.call(address, &number, PATIENCE.reply).await.ok()
+    client.call(address, &number, TIMEOUTS.reply).await.ok()
 }
 
 async fn fetch(client: &PeerClient, address: SocketAddr, number: u32) -> Option<u32> {
-    client.fetch(address, &number, PATIENCE, || {}).await.ok()
+    client.fetch(address, &number, TIMEOUTS, || {}).await.ok()
 }
 
 #[test]
-fn call_given_up_on_a_silent_connection_is_the_last_on_it() {
+fn silent_connection_is_discarded_after_a_failed_call() {
     runtime().block_on(async {
         let (client, link) = (PeerClient::new(KEY), linked_peer().await);
         assert_eq!(call(&client, link.address, 1).await, Some(1));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn fetch_goes_on_with_a_new_connection() {
+fn fetch_is_retried_on_a_new_connection() {
     runtime().block_on(async {
         let (client, link) = (PeerClient::new(KEY), linked_peer().await);
         assert_eq!(fetch(&client, link.address, 1).await, Some(1));
@@ -70,9 +70,9 @@
     });
 }
 
-/// Connections fall silent together: the second one is not tried.
+/// Connections usually become silent together, so the second one is replaced without a try.
 #[test]
-fn connections_not_heard_since_another_was_silent_are_replaced() {
+fn connections_silent_since_another_failed_are_replaced() {
     runtime().block_on(async {
         let (client, first, second) =
             (PeerClient::new(KEY), linked_peer().await, linked_peer().await);
@@ -85,9 +85,9 @@
     });
 }
 
-/// A reply that comes late on a connection that works costs no other call.
+/// A late reply on a working connection does not affect other calls.
 #[test]
-fn slow_reply_ends_only_its_own_call() {
+fn slow_reply_fails_only_its_own_call() {
     runtime().block_on(async {
         let (client, link) = (PeerClient::new(KEY), linked_peer().await);
         assert_eq!(call(&client, link.address, 1).await, Some(1));
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn further_hosts_are_asked_when_nothing_comes() {
+fn fetch_from_further_hosts_begins_when_idle() {
     let mut fetches = ViewFetches::default();
     assert!(fetches.begin(at(0), host(1)));
     assert!(!fetches.begin(at(149), host(2)));
@@ -118,8 +118,8 @@
     assert!(!fetches.begin(at(298), host(2)));
     assert!(fetches.begin(at(299), host(2)));
     assert!(fetches.begin(at(449), host(3)));
-    assert!(!fetches.begin(at(9000), host(4)), "three are asked already");
+    assert!(!fetches.begin(at(9000), host(4)), "three fetches are in flight");
     fetches.end(host(2));
-    assert!(!fetches.begin(at(9000), host(1)), "it is being asked");
+    assert!(!fetches.begin(at(9000), host(1)), "its fetch is in flight");
     assert!(fetches.begin(at(9000), host(4)));
 }
--- a/tests/view_freshness.rs
+++ b/tests/view_freshness.rs
@@ -1,4 +1,4 @@
-//! How fresh a host may hold its view to be, and when it knows that it is behind.
+//! Freshness of a host's view, and when the host knows that it is behind.
 
 use std::time::Duration;
 use tealcleat::fleet::ViewFreshness;
@@ -11,7 +11,7 @@
 const AGE: Duration = Duration::from_millis(200);
 
 #[test]
-fn answer_to_a_host_with_more_says_nothing_of_an_older_view() {
+fn answer_to_a_newer_host_does_not_refresh_an_older_view() {
     let mut freshness = ViewFreshness::default();
     freshness.record_complete(at(1000), 5);
     freshness.apply_age(at(3000), 5, 6, AGE);
@@ -20,9 +20,9 @@
     assert_eq!(freshness.age(at(3000), 6), AGE);
 }
 
-/// Where changes come all the time, a host is always told of a little more than it holds.
+/// With continuous changes, other hosts always announce slightly newer revisions than the host has.
 #[test]
-fn answer_to_a_host_with_more_counts_once_as_much_is_held() {
+fn answer_to_a_newer_host_counts_once_its_revision_is_reached() {
     let mut freshness = ViewFreshness::default();
     freshness.record_complete(at(1000), 5);
     freshness.apply_age(at(3000), 5, 6, AGE);
@@ -34,26 +34,26 @@
 }
 
 #[test]
-fn host_is_behind_since_it_was_first_told() {
+fn host_is_behind_since_the_first_announcement() {
     let mut freshness = ViewFreshness::default();
     freshness.apply_revision(at(1000), 5, 6);
     freshness.apply_revision(at(1400), 5, 8);
     assert_eq!(freshness.behind_for(at(1500), 5), Some(Duration::from_millis(500)));
-    // What it was told of first is there; the rest must be heard again.
+    // The first announced revision is reached; a newer one must be announced again.
     assert_eq!(freshness.behind_for(at(1600), 6), None);
     freshness.apply_revision(at(1700), 6, 8);
     assert_eq!(freshness.behind_for(at(1800), 6), Some(Duration::from_millis(100)));
 }
 
 #[test]
-fn older_or_same_views_of_others_leave_a_host_as_it_is() {
+fn same_or_older_views_of_others_do_not_count() {
     let mut freshness = ViewFreshness::default();
     freshness.apply_revision(at(1000), 5, 5);
     freshness.apply_revision(at(1000), 5, 4);
     assert_eq!(freshness.behind_for(at(9000), 5), None);
 }
 
-/// A listing may name a later revision than the last change; a host that asked the store up to there lacks nothing.
+/// A listing may name a later revision than the last change; a host with the store's answer for it has a complete view.
 #[test]
 fn store_without_further_changes_ends_a_lag() {
     let mut freshness = ViewFreshness::default();
@@ -65,10 +65,10 @@
     assert_eq!(freshness.behind_for(at(3200), 5), Some(Duration::from_millis(100)));
 }
 
-/// A host that asked the store since nobody else seemed to goes on until it hears of a newer answer than its own: others hand
-/// its own back to it.
+/// A host that polls the store because no other host seems to get answers continues until it is told of an answer newer
+/// than its own. Other hosts also send its own answer time back to it, which does not count.
 #[test]
-fn own_answer_is_the_newest_until_another_is_told() {
+fn own_answer_is_newest_until_a_newer_one_is_received() {
     let mut freshness = ViewFreshness::default();
     freshness.record_complete(at(1000), 5);
     assert!(freshness.has_newest_answer());
