--- a/tests/entry_common/mod.rs
+++ b/tests/entry_common/mod.rs
@@ -66,13 +66,13 @@
 #[derive(Debug, Clone, Copy)]
 pub enum FieldChange {
     /// The field is missing.
-    LeftOut(&'static str),
+    Missing(&'static str),
     /// The field holds these bytes, which may be invalid JSON; it is added if the entry does not have it.
     Holds(&'static str, &'static [u8]),
 }
 
 /// The bytes of a complete entry of a server of the plain service.
-pub fn whole_spec(address: SocketAddr) -> Vec<u8> {
+pub fn complete_spec(address: SocketAddr) -> Vec<u8> {
     spec_of(&complete_fields(address))
 }
 
@@ -80,7 +80,7 @@
 pub fn changed_spec(address: SocketAddr, change: FieldChange) -> Vec<u8> {
     let mut fields = complete_fields(address);
     match change {
-        FieldChange::LeftOut(field) => fields.retain(|(name, _)| *name != field),
+        FieldChange::Missing(field) => fields.retain(|(name, _)| *name != field),
         FieldChange::Holds(field, bytes) => {
             fields.retain(|(name, _)| *name != field);
             fields.push((field, bytes.to_vec()));
--- a/tests/foreign_entries.rs
+++ b/tests/foreign_entries.rs
@@ -8,7 +8,7 @@
 mod entry_common;
 mod site_common;
 
-use entry_common::FieldChange::{self, Holds, LeftOut};
+use entry_common::FieldChange::{self, Holds, Missing};
 use entry_common::{
     FOREIGN, KNOWN, add_ready_host, assert_servers, changed_spec, knows, reach_revision, site_of,
     wait_until,
@@ -24,18 +24,18 @@
 }
 
 #[rstest]
-#[case::service_missing(LeftOut("service"))]
+#[case::service_missing(Missing("service"))]
 #[case::service_number(Holds("service", b"7"))]
 #[case::service_empty(Holds("service", b"\"\""))]
-#[case::address_missing(LeftOut("address"))]
+#[case::address_missing(Missing("address"))]
 #[case::address_without_port(Holds("address", b"\"127.0.0.1\""))]
-#[case::zone_missing(LeftOut("zone"))]
+#[case::zone_missing(Missing("zone"))]
 #[case::zone_number(Holds("zone", b"1"))]
 #[case::zone_no_utf8(Holds("zone", b"\"a\xff\""))]
-#[case::slots_missing(LeftOut("slots"))]
+#[case::slots_missing(Missing("slots"))]
 #[case::slots_text(Holds("slots", b"\"8\""))]
 #[case::slots_no_number(Holds("slots", b"NaN"))]
-#[case::state_missing(LeftOut("state"))]
+#[case::state_missing(Missing("state"))]
 #[case::state_unknown(Holds("state", b"\"resting\""))]
 #[case::state_cut_surrogate(Holds("state", b"\"\\ud800\""))]
 #[case::stage_unknown(Holds("stage", b"\"rank\""))]
@@ -53,7 +53,7 @@
 }
 
 #[rstest]
-#[case::zone_missing(LeftOut("zone"))]
+#[case::zone_missing(Missing("zone"))]
 #[case::zone_no_utf8(Holds("zone", b"\"a\xff\""))]
 #[case::slots_text(Holds("slots", b"\"8\""))]
 #[case::state_unknown(Holds("state", b"\"resting\""))]
--- a/tests/server_entries.rs
+++ b/tests/server_entries.rs
@@ -1,7 +1,7 @@
 //! Validation of servers' entries.
 
-use entry_common::FieldChange::{self, Holds, LeftOut};
-use entry_common::{changed_spec, whole_spec};
+use entry_common::FieldChange::{self, Holds, Missing};
+use entry_common::{changed_spec, complete_spec};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
@@ -27,7 +27,7 @@
 
 #[test]
 fn complete_entry_is_accepted() {
-    let entry = decode(&whole_spec(address())).expect("a server");
+    let entry = decode(&complete_spec(address())).expect("a server");
     assert_eq!(entry.id, "i-1");
     assert_eq!(entry.service, NameKey::of("app"));
     assert_eq!(entry.address, address());
@@ -41,7 +41,7 @@
 #[case::prefill(Holds("stage", b"\"prefill\""), ServerState::Ready, Some(ServerStage::Prefill))]
 #[case::decode(Holds("stage", b"\"decode\""), ServerState::Ready, Some(ServerStage::Decode))]
 #[case::stage_null(Holds("stage", b"null"), ServerState::Ready, None)]
-#[case::start_unknown(LeftOut("born"), ServerState::Ready, None)]
+#[case::start_unknown(Missing("born"), ServerState::Ready, None)]
 #[case::further_field(Holds("models", b"[]"), ServerState::Ready, None)]
 fn changed_entry_is_accepted(
     #[case] change: FieldChange,
@@ -53,29 +53,29 @@
 }
 
 #[rstest]
-#[case::service_missing(LeftOut("service"))]
+#[case::service_missing(Missing("service"))]
 #[case::service_number(Holds("service", b"7"))]
 #[case::service_empty(Holds("service", b"\"\""))]
-#[case::address_missing(LeftOut("address"))]
+#[case::address_missing(Missing("address"))]
 #[case::address_list(Holds("address", b"[\"127.0.0.1\",7001]"))]
 #[case::address_no_address(Holds("address", b"\"somewhere\""))]
-#[case::zone_missing(LeftOut("zone"))]
+#[case::zone_missing(Missing("zone"))]
 #[case::zone_empty(Holds("zone", b"\"\""))]
 #[case::zone_null(Holds("zone", b"null"))]
-#[case::slots_missing(LeftOut("slots"))]
+#[case::slots_missing(Missing("slots"))]
 #[case::slots_text(Holds("slots", b"\"8\""))]
 #[case::slots_fraction(Holds("slots", b"8.5"))]
 #[case::slots_negative(Holds("slots", b"-8"))]
-#[case::state_missing(LeftOut("state"))]
+#[case::state_missing(Missing("state"))]
 #[case::state_unknown(Holds("state", b"\"resting\""))]
 #[case::state_capital(Holds("state", b"\"Ready\""))]
 #[case::state_object(Holds("state", b"{\"ready\":null}"))]
 #[case::state_flag(Holds("state", b"true"))]
-#[case::version_missing(LeftOut("version"))]
+#[case::version_missing(Missing("version"))]
 #[case::version_number(Holds("version", b"1"))]
-#[case::cold_time_missing(LeftOut("cold_left_ms"))]
+#[case::cold_time_missing(Missing("cold_left_ms"))]
 #[case::cold_time_text(Holds("cold_left_ms", b"\"0\""))]
-#[case::seq_missing(LeftOut("seq"))]
+#[case::seq_missing(Missing("seq"))]
 #[case::seq_text(Holds("seq", b"\"0\""))]
 #[case::seq_negative(Holds("seq", b"-1"))]
 #[case::stage_unknown(Holds("stage", b"\"rank\""))]
@@ -105,7 +105,7 @@
 #[case::line_end("i-1\r\nx: y")]
 #[case::no_ascii("i-é")]
 fn invalid_id_is_rejected(#[case] id: &str) {
-    let spec = serde_json::from_slice(&whole_spec(address())).expect("JSON");
+    let spec = serde_json::from_slice(&complete_spec(address())).expect("JSON");
     let unnamed = StoreObject { name: id.to_owned(), ..object(spec) };
     decode_server(&unnamed).expect_err("no server");
 }
@@ -158,7 +158,7 @@
     const FIELDS: [&str; 7] = ["service", "address", "zone", "slots", "state", "stage", "born"];
     let mut random = StdRng::seed_from_u64(SEED);
     let complete: Map<String, Value> =
-        serde_json::from_slice(&whole_spec(address())).expect("an object");
+        serde_json::from_slice(&complete_spec(address())).expect("an object");
     let mut accepted_count = 0;
     for _ in 0..ENTRIES {
         let mut spec = complete.clone();
