--- a/src/bin/tealcleatd/app.rs
+++ b/src/bin/tealcleatd/app.rs
@@ -86,7 +86,7 @@
                 _ = interrupt.recv() => break,
             }
         }
-        gateway.host.stop_gently().await;
+        gateway.host.stop_gracefully().await;
         Ok(())
     })
 }
--- a/src/gateway/age_loop.rs
+++ b/src/gateway/age_loop.rs
@@ -21,15 +21,15 @@
 const DOUBT_AGE: Duration = Duration::from_millis(2000);
 
 /// Asks for the age of the configuration while keys depend on it.
-pub(super) async fn run_ages(host: Arc<GatewayHost>) {
+pub(super) async fn poll_config_age(host: Arc<GatewayHost>) {
     loop {
         let (bounded, too_old) = {
             let now = host.now();
             let state = host.state();
-            (state.longest_config_age().is_some(), state.is_config_too_old(now))
+            (state.max_config_age().is_some(), state.is_config_too_old(now))
         };
         if bounded {
-            host.ask_ages();
+            host.request_config_age();
         }
         tokio::time::sleep(if too_old { HASTY_PERIOD } else { ASK_PERIOD }).await;
     }
@@ -37,7 +37,7 @@
 
 impl GatewayHost {
     /// Asks the watcher of the own failure domain, and others if that is in doubt.
-    pub(super) fn ask_ages(&self) {
+    pub(super) fn request_config_age(&self) {
         let now = self.now();
         for address in self.age_targets(now) {
             let question = self.state().config_age.next_request(now);
@@ -55,7 +55,7 @@
             watcher.map(|record| record.update).into_iter().collect();
         if in_doubt {
             let salt = mix_hash(self.incarnation.0, now.0);
-            targets.extend(state.near_member(salt));
+            targets.extend(state.other_domain_member(salt));
             let abroad = state.members.reachable(now).filter(|host| host.domain != self.domain());
             targets.extend(abroad.min_by_key(|host| mix_hash(salt, host.incarnation.0)));
         }
@@ -63,22 +63,22 @@
     }
 
     /// Answers another host's question, if this host knows.
-    pub(super) fn answer_age(&self, from: SocketAddr, question: AgeRequest) {
-        let answer = self.own_age(question);
+    pub(super) fn reply_config_age(&self, from: SocketAddr, question: AgeRequest) {
+        let answer = self.config_age_reply(question);
         if let Some(answer) = answer {
             self.send(from, &GatewayDatagram::AgeReply(answer));
         }
     }
 
     /// The answer to a question about the age of this host's configuration.
-    pub(super) fn own_age(&self, question: AgeRequest) -> Option<AgeReply> {
+    pub(super) fn config_age_reply(&self, question: AgeRequest) -> Option<AgeReply> {
         let now = self.now();
         let state = self.state();
         state.config_age.reply(now, question, state.routes.version())
     }
 
     /// Takes over an answer; a host that has a newer configuration is asked for it.
-    pub(super) fn hear_age(self: &Arc<Self>, from: SocketAddr, answer: AgeReply) {
+    pub(super) fn apply_age_reply(self: &Arc<Self>, from: SocketAddr, answer: AgeReply) {
         let version = {
             let mut state = self.state();
             let version = state.routes.version();
@@ -86,16 +86,16 @@
             version
         };
         if answer.version > version {
-            self.hear_mark(ViewMark { config_version: answer.version, fleet_revision: 0 });
+            self.apply_view_mark(ViewMark { config_version: answer.version, fleet_revision: 0 });
             self.fetch_view(from);
         } else {
-            self.age_heard.notify_waiters();
+            self.config_age_updated.notify_waiters();
         }
     }
 
     /// The store answered a question that left at `asked_at`: what it did not tell did not happen before.
     pub(super) fn note_config_complete(&self, asked_at: TimePoint) {
         self.state().config_age.record_complete(asked_at);
-        self.age_heard.notify_waiters();
+        self.config_age_updated.notify_waiters();
     }
 }
--- a/src/gateway/call_route.rs
+++ b/src/gateway/call_route.rs
@@ -5,8 +5,8 @@
 use super::caller_body::CallerAnswer;
 use super::crash_watch::RequestAdmission;
 use super::engine_call::serve_engine;
-use super::flight_guard::FlightGuard;
 use super::gateway_host::{GatewayHost, StopPhase};
+use super::in_flight_guard::InFlightGuard;
 use super::limit_charge::{LimitCharge, charge_request};
 use super::plain_call::serve_plain;
 use super::run_open::refuse;
@@ -33,7 +33,7 @@
     host: Arc<GatewayHost>,
     request: Request<Incoming>,
 ) -> Result<CallerAnswer, Infallible> {
-    let flight = FlightGuard::new(&host);
+    let flight = InFlightGuard::new(&host);
     let (parts, body) = request.into_parts();
     let head = CallHead::read(&parts.headers, &parts.uri, &host.key_hasher);
     let id = head.request_id.clone();
@@ -51,7 +51,7 @@
     Ok(answer)
 }
 
-async fn run_call(context: CallContext, flight: FlightGuard) -> CallerAnswer {
+async fn run_call(context: CallContext, flight: InFlightGuard) -> CallerAnswer {
     if context.spec.engine.is_some() {
         return serve_engine(Arc::new(context), flight).await;
     }
@@ -88,7 +88,7 @@
     {
         let mut state = host.state();
         let bounds = state.bounds.retries;
-        state.retries.entry(service).or_default().record_request(received_at, &bounds);
+        state.retry_windows.entry(service).or_default().record_request(received_at, &bounds);
     }
     let organisation = organisation.as_deref();
     let contents = host.request_hasher.key(&RequestContents {
@@ -139,7 +139,7 @@
 /// Logs why a request that was in flight when servers crashed is refused or sent as a trial.
 fn log_admission(id: &str, contents: RequestKey, admission: &RequestAdmission) {
     let (name, evidence) = match admission {
-        RequestAdmission::Free => return,
+        RequestAdmission::Admitted => return,
         RequestAdmission::Trial(evidence) => ("request_tried", evidence),
         RequestAdmission::HeldBack(evidence) => ("request_held_back", evidence),
     };
--- a/src/gateway/caller_auth.rs
+++ b/src/gateway/caller_auth.rs
@@ -23,8 +23,8 @@
     if permission == CallerPermission::RefreshFirst {
         // Subscribes before it sends, so that no answer is missed. The first answer wakes all requests that
         // wait; without an answer, the permission known at the timeout decides.
-        let received = host.age_heard.notified();
-        host.ask_ages();
+        let received = host.config_age_updated.notified();
+        host.request_config_age();
         drop(tokio::time::timeout(AGE_TIMEOUT, received).await);
         permission = current_permission(host, route, digest);
     }
@@ -47,6 +47,6 @@
 ) -> CallerPermission {
     let now = host.now();
     let state = host.state();
-    let (age, longest) = (state.config_age.age(now), state.longest_config_age());
+    let (age, longest) = (state.config_age.age(now), state.max_config_age());
     check_permission(state.routes.organisations(), route.is_public, digest, age, longest)
 }
--- a/src/gateway/caller_loop.rs
+++ b/src/gateway/caller_loop.rs
@@ -16,7 +16,7 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = host.closing() => return,
+            () = host.wait_for_closing() => return,
         };
         match accepted {
             Ok((stream, _)) => {
@@ -47,7 +47,7 @@
     let mut connection = std::pin::pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = host.closing() => {
+        () = host.wait_for_closing() => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
--- a/src/gateway/crash_news.rs
+++ b/src/gateway/crash_updates.rs
@@ -15,32 +15,32 @@
 const TELL_ABROAD: usize = 2;
 
 /// Tells crashes while there are some that others may not know.
-pub(super) async fn run_crash_news(host: Arc<GatewayHost>) {
+pub(super) async fn run_crash_updates(host: Arc<GatewayHost>) {
     let mut ticker = tokio::time::interval(TELL_PERIOD);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticker.tick().await;
-        host.settle_break_offs();
-        host.tell_crashes();
+        host.resolve_break_offs();
+        host.send_crash_updates();
     }
 }
 
 impl GatewayHost {
-    fn tell_crashes(&self) {
+    fn send_crash_updates(&self) {
         let now = self.now();
         let report = self.state().crashes.unsent(now);
         if report.is_empty() {
             return;
         }
-        let serial = self.load_serial.fetch_add(1, Ordering::Relaxed);
+        let serial = self.gossip_round.fetch_add(1, Ordering::Relaxed);
         let news = GatewayDatagram::Crashes(report);
-        for target in self.load_targets(serial, TELL_NEAR, TELL_ABROAD) {
+        for target in self.gossip_targets(serial, TELL_NEAR, TELL_ABROAD) {
             self.send(target, &news);
         }
     }
 
     /// Takes over what another host told.
-    pub(super) fn hear_crashes(&self, report: &CrashReport) {
+    pub(super) fn apply_crash_report(&self, report: &CrashReport) {
         let now = self.now();
         let mut state = self.state();
         let before = state.crashes.len();
--- a/src/gateway/crash_watch.rs
+++ b/src/gateway/crash_watch.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestAdmission {
     /// It is sent on.
-    Free,
+    Admitted,
     /// It was held back, and is sent to one server to find out whether rightly.
     Trial(CrashEvidence),
     /// It is refused.
@@ -31,14 +31,14 @@
 impl CallContext {
     /// The call to a server ended with `error`: if the server broke off in the middle, it may have crashed under
     /// this request.
-    pub fn note_failure(&self, server: &ServerEntry, error: &Error) {
+    pub fn record_failure(&self, server: &ServerEntry, error: &Error) {
         if error.is_break_off() {
             self.host.note_break_off(server, self.contents, self.sent_at());
         }
     }
 
     /// A server answered this request whole.
-    pub fn note_answered(&self) {
+    pub fn record_success(&self) {
         let now = self.host.now();
         self.host.state().crashes.record_served(now, self.contents);
     }
@@ -47,11 +47,11 @@
     /// before each send: a request under way learns of what it did elsewhere, and waits until that is settled.
     pub async fn is_held_back(&self, sent: u32) -> bool {
         let is_allowed = self.is_trial && sent == 0;
-        !is_allowed && self.host.settled_hold(self.id(), self.contents, self.time_left()).await
+        !is_allowed && self.host.resolve_hold(self.id(), self.contents, self.time_left()).await
     }
 
     /// The same by what is settled already, where a wait would cost what servers keep for it, or delay its final answer.
-    pub fn is_surely_held_back(&self, sent: u32) -> bool {
+    pub fn is_known_held_back(&self, sent: u32) -> bool {
         let is_allowed = self.is_trial && sent == 0;
         let verdict = self.host.state().crashes.verdict(self.contents);
         !is_allowed && verdict == RequestVerdict::Held
@@ -61,7 +61,7 @@
 impl GatewayHost {
     /// Whether a request is held back, as soon as that can be told: one that seems to crash servers waits until it is known
     /// who else was there. If that takes longer than it has `left`, or ever more servers crash meanwhile, it is sent on.
-    async fn settled_hold(&self, id: &str, request: RequestKey, left: Duration) -> bool {
+    async fn resolve_hold(&self, id: &str, request: RequestKey, left: Duration) -> bool {
         let patience = left.min(SETTLE_TIME);
         let (began, mut waited) = (self.now(), Duration::ZERO);
         loop {
@@ -87,14 +87,14 @@
         request: RequestKey,
         left: Duration,
     ) -> RequestAdmission {
-        if !self.settled_hold(id, request, left).await {
-            return RequestAdmission::Free;
+        if !self.resolve_hold(id, request, left).await {
+            return RequestAdmission::Admitted;
         }
         let now = self.now();
-        let is_oldest = self.is_oldest();
+        let is_elected_leader = self.is_elected_leader();
         let mut state = self.state();
         let evidence = state.crashes.evidence(request);
-        if is_oldest && state.crashes.take_trial(now, request) {
+        if is_elected_leader && state.crashes.take_trial(now, request) {
             return RequestAdmission::Trial(evidence);
         }
         state.crashes.record_return(now, request);
@@ -143,7 +143,7 @@
     }
 
     /// Notes crashes of servers that were in doubt and whose entries went or name another life.
-    pub(super) fn settle_break_offs(&self) {
+    pub(super) fn resolve_break_offs(&self) {
         let now = self.now();
         let crashed = {
             let mut state = self.state();
--- a/src/gateway/decode_reservation.rs
+++ b/src/gateway/decode_reservation.rs
@@ -5,7 +5,7 @@
 use super::engine_resource::{EngineResource, acquire_hold};
 use super::load_guard::LoadGuard;
 use super::send_permit::SendPermit;
-use super::server_ranking::ServerWish;
+use super::server_ranking::ServerCriteria;
 use crate::fleet::{ServerEntry, ServerStage};
 use crate::keys::ServerKey;
 use crate::placement::{MemorySearch, RankingCriterion, SearchStep, ServerEvent, ServerLoad};
@@ -56,16 +56,16 @@
     let near = context.host.domain();
     let mut search = MemorySearch::new(context.host.now(), near);
     loop {
-        let wish = ServerWish {
+        let wish = ServerCriteria {
             stage: Some(ServerStage::Decode),
             kind: RankingCriterion::DecodeMemory(engine.memory_tokens),
-            near,
-            abroad: search.remote_penalty(),
+            local_domain: near,
+            remote_penalty: search.remote_penalty(),
             rank: context.rank,
         };
         // The servers are ranked again for each step: one that did not answer took time, in which
         // others may have started draining.
-        let mut ranked = context.host.ranked(context.service, &wish);
+        let mut ranked = context.host.rank_ready_servers(context.service, &wish);
         ranked.retain(|server| !lost.contains(&server.key()));
         if ranked.is_empty() {
             return Err(prefer_at_limit(context, NotRunReason::NoServer));
@@ -114,7 +114,7 @@
     let state = context.host.state();
     let decodes = state.fleet.ready_at(context.service, ServerStage::Decode);
     let used: u64 =
-        decodes.map(|server| u64::from(state.board.total(server.key()).memory_tokens)).sum();
+        decodes.map(|server| u64::from(state.server_loads.total(server.key()).memory_tokens)).sum();
     log::info!(
         "event=no_room request={} tokens={tokens} servers={servers} asked={} mean_used={} \
          memory={}",
@@ -133,16 +133,16 @@
     permit: SendPermit,
 ) -> Option<DecodeReservation> {
     let load = decode_load(context, server);
-    context.host.note_server(server, ServerEvent::Sent);
+    context.host.record_server_event(server, ServerEvent::Sent);
     let hold = acquire_hold(&context.host, server, tokens, engine.max_hold).await;
     if hold.is_ok() {
-        context.host.note_server(server, ServerEvent::Answered);
+        context.host.record_server_event(server, ServerEvent::Answered);
     }
     match hold {
         Ok(Some(hold)) => Some(DecodeReservation { hold, load, permit }),
         Ok(None) => None,
         Err(error) => {
-            context.host.note_server(server, ServerEvent::Unresponsive);
+            context.host.record_server_event(server, ServerEvent::Unresponsive);
             let (id, server) = (context.id(), &server.id);
             log::info!("event=hold_failed request={id} server={server} cause=\"{error}\"");
             None
--- a/src/gateway/engine_call.rs
+++ b/src/gateway/engine_call.rs
@@ -2,7 +2,7 @@
 use super::call_end::{CallEnd, NotRunReason};
 use super::caller_body::{CallerAnswer, CallerBody};
 use super::event_relay::relay_events;
-use super::flight_guard::FlightGuard;
+use super::in_flight_guard::InFlightGuard;
 use super::run_open::{OpenRun, open_stream, refuse};
 use super::run_start::RunRecord;
 use crate::platform::answer_headers;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 /// Runs a request on a service of model engines and answers with its stream.
-pub(super) async fn serve_engine(context: Arc<CallContext>, flight: FlightGuard) -> CallerAnswer {
+pub(super) async fn serve_engine(context: Arc<CallContext>, flight: InFlightGuard) -> CallerAnswer {
     let Some(engine) = context.spec.engine.clone() else {
         return refuse(NotRunReason::NoServer).into_answer(context.id());
     };
@@ -36,7 +36,7 @@
     engine: EngineSpec,
     run: OpenRun,
     runs: RunRecord,
-    flight: FlightGuard,
+    flight: InFlightGuard,
 ) -> CallerAnswer {
     let (events, received) = tokio::sync::mpsc::channel(EVENT_BUFFER);
     let mut answer = Response::new(CallerBody::Events(received));
--- a/src/gateway/event_relay.rs
+++ b/src/gateway/event_relay.rs
@@ -2,7 +2,7 @@
 use super::call_end::{CallEnd, NotRunReason};
 use super::caller_body::StreamPart;
 use super::decode_reservation::expected_output;
-use super::flight_guard::FlightGuard;
+use super::in_flight_guard::InFlightGuard;
 use super::run_open::{OpenRun, may_retry_run, open_stream};
 use super::run_start::RunRecord;
 use crate::Result;
@@ -86,7 +86,7 @@
     run: OpenRun,
     runs: RunRecord,
     events: Sender<StreamPart>,
-    flight: FlightGuard,
+    flight: InFlightGuard,
 ) {
     let mut record = RelayRecord { last: context.head.last_event, ..RelayRecord::default() };
     let server = run.server.id.clone();
@@ -119,7 +119,7 @@
             RunEnd::Stream(end) => return end,
             RunEnd::ServerLost => {
                 log_lost(context, &server.id, record);
-                context.host.note_server(&server, ServerEvent::Unresponsive);
+                context.host.record_server_event(&server, ServerEvent::Unresponsive);
                 runs.record_lost(server.key());
             }
         }
@@ -184,11 +184,11 @@
         let event = match next {
             Ok(Some(event)) => event,
             Ok(None) => {
-                context.note_answered();
+                context.record_success();
                 return RunEnd::Stream(StreamEnd::Whole);
             }
             Err(error) => {
-                context.note_failure(&server, &error);
+                context.record_failure(&server, &error);
                 return RunEnd::ServerLost;
             }
         };
@@ -257,14 +257,14 @@
     let tokens = &context.head.tokens;
     let (now, output) = (context.host.now(), expected_output(tokens));
     let mut state = context.host.state();
-    state.work.entry(context.service).or_default().record_stream(now, tokens.prompt, output);
+    state.work_meters.entry(context.service).or_default().record_stream(now, tokens.prompt, output);
 }
 
 /// Reports to the work meter the pace of a run, once a group of its events has arrived.
 fn record_pace(context: &CallContext, engine: &EngineSpec, timer: &mut PaceTimer) {
     let Some((events, took)) = timer.record_event(context.host.now()) else { return };
     let tokens = events.saturating_mul(engine.tokens_per_event);
-    context.host.state().work.entry(context.service).or_default().record_pace(tokens, took);
+    context.host.state().work_meters.entry(context.service).or_default().record_pace(tokens, took);
 }
 
 fn log_stream(context: &CallContext, server: &str, end: StreamEnd, record: &RelayRecord) {
--- a/src/gateway/gateway_host.rs
+++ b/src/gateway/gateway_host.rs
@@ -1,5 +1,5 @@
 use super::gateway_state::GatewayState;
-use super::reply_waits::ReplyWaits;
+use super::pending_replies::PendingReplies;
 use super::unreadable_objects::UnreadableObjects;
 use crate::engines::HttpPool;
 use crate::fleet::{FleetView, RefusedHosts, ServerEntry, StageChanges, ViewFreshness};
@@ -31,7 +31,7 @@
     /// Callers are served.
     Serving,
     /// The platform is told to send no more callers; those that come are still served.
-    Leaving,
+    Draining,
     /// Connections are closed; requests under way end, and what was read meanwhile.
     Closing,
     /// The process ends; what is still read is refused.
@@ -64,7 +64,7 @@
     /// This life of it.
     pub incarnation: IncarnationId,
     clock: HostClock,
-    pub(super) serials: AtomicU64,
+    pub(super) next_serial: AtomicU64,
     state: Mutex<GatewayState>,
     metrics: Mutex<MetricBook>,
     pub(super) pool: HttpPool,
@@ -75,14 +75,14 @@
     pub(super) key_hasher: KeyHasher,
     pub(super) request_hasher: RequestHasher,
     /// Requests that wait for an answer about the age of the configuration.
-    pub(super) age_heard: Notify,
-    pub(super) limit_waits: ReplyWaits<LimitReply>,
-    pub(super) send_waits: ReplyWaits<PermitReply>,
-    pub(super) retry_waits: ReplyWaits<RetryReply>,
-    pub(super) load_serial: AtomicU64,
+    pub(super) config_age_updated: Notify,
+    pub(super) limit_replies: PendingReplies<LimitReply>,
+    pub(super) send_replies: PendingReplies<PermitReply>,
+    pub(super) retry_replies: PendingReplies<RetryReply>,
+    pub(super) gossip_round: AtomicU64,
     pub(super) view_fetches: Mutex<ViewFetches>,
-    pub(super) routes_away: AtomicBool,
-    pub(super) servers_away: AtomicBool,
+    pub(super) routes_unreachable: AtomicBool,
+    pub(super) servers_unreachable: AtomicBool,
     pub(super) stop: watch::Sender<StopPhase>,
     pub(super) in_flight: AtomicU64,
 }
@@ -104,33 +104,33 @@
             routes_revision: 0,
             routes_freshness: ViewFreshness::default(),
             config_age: ConfigAge::default(),
-            meter: LimitMeter::default(),
-            ledger: LimitLedger::default(),
-            silent: SilentOwners::default(),
+            limit_meter: LimitMeter::default(),
+            limit_ledger: LimitLedger::default(),
+            silent_owners: SilentOwners::default(),
             fleet: FleetView::default(),
             servers_freshness: ViewFreshness::default(),
-            board: LoadTable::default(),
+            server_loads: LoadTable::default(),
             grants: GrantHistory::default(),
-            health: HashMap::new(),
-            domains: DomainBreakers::default(),
-            retries: HashMap::new(),
+            server_health: HashMap::new(),
+            domain_breakers: DomainBreakers::default(),
+            retry_windows: HashMap::new(),
             retry_pools: RetryPools::default(),
-            work: HashMap::new(),
-            heard_work: HashMap::new(),
-            changes: StageChanges::default(),
+            work_meters: HashMap::new(),
+            peer_work: HashMap::new(),
+            stage_changes: StageChanges::default(),
             unconfirmed_crashes: UnconfirmedCrashes::default(),
             crashes: CrashTracker::default(),
             crashes_revision: None,
-            sends: SendControl::default(),
-            answered_at: TimePoint::default(),
-            refused: RefusedHosts::default(),
+            send_control: SendControl::default(),
+            store_answered_at: TimePoint::default(),
+            refused_hosts: RefusedHosts::default(),
             members: MemberTable::new(own, seeds, rand::random()),
-            unreadable: UnreadableObjects::default(),
+            unreadable_objects: UnreadableObjects::default(),
         };
         Self {
             incarnation,
             clock: HostClock::start(),
-            serials: AtomicU64::new(rand::random::<u32>().into()),
+            next_serial: AtomicU64::new(rand::random::<u32>().into()),
             state: Mutex::new(state),
             metrics: Mutex::default(),
             pool: HttpPool::default(),
@@ -140,14 +140,14 @@
             socket,
             key_hasher: KeyHasher::new(&settings.shared_key),
             request_hasher: RequestHasher::new(&settings.shared_key),
-            age_heard: Notify::new(),
-            limit_waits: ReplyWaits::default(),
-            send_waits: ReplyWaits::default(),
-            retry_waits: ReplyWaits::default(),
-            load_serial: AtomicU64::new(1),
+            config_age_updated: Notify::new(),
+            limit_replies: PendingReplies::default(),
+            send_replies: PendingReplies::default(),
+            retry_replies: PendingReplies::default(),
+            gossip_round: AtomicU64::new(1),
             view_fetches: Mutex::default(),
-            routes_away: AtomicBool::new(false),
-            servers_away: AtomicBool::new(false),
+            routes_unreachable: AtomicBool::new(false),
+            servers_unreachable: AtomicBool::new(false),
             stop: watch::Sender::new(StopPhase::Serving),
             in_flight: AtomicU64::new(0),
             settings,
@@ -190,7 +190,7 @@
     }
 
     /// Waits until no more requests are read.
-    pub(super) async fn closing(&self) {
+    pub(super) async fn wait_for_closing(&self) {
         let mut stop = self.stop.subscribe();
         // The sender lives as long as this host: the wait ends only with the phase.
         drop(stop.wait_for(|phase| *phase >= StopPhase::Closing).await);
@@ -222,8 +222,8 @@
     }
 
     /// Hosts that share what all of them may do together.
-    pub(super) fn known_hosts(&self) -> usize {
-        self.state().host_count().max(LEAST_HOSTS)
+    pub(super) fn sharing_host_count(&self) -> usize {
+        self.state().known_host_count().max(LEAST_HOSTS)
     }
 
     /// Adopts a configuration that is newer than the one in force; true if it is.
@@ -250,25 +250,25 @@
     }
 
     /// Takes note of what happened between this host and a server.
-    pub(super) fn note_server(&self, server: &ServerEntry, note: ServerEvent) {
+    pub(super) fn record_server_event(&self, server: &ServerEntry, note: ServerEvent) {
         let now = self.now();
         let mut state = self.state();
         // What a former life still comes to, as a broken stream, would stay for good.
         if !state.fleet.has_restarted(server) {
-            state.health.entry(server.key()).or_default().record(now, note);
+            state.server_health.entry(server.key()).or_default().record(now, note);
         }
         // Servers of the own domain are never behind a cut between domains.
         if server.domain == self.domain() {
             return;
         }
         match note {
-            ServerEvent::Sent => state.domains.record_sent(now, server.domain),
+            ServerEvent::Sent => state.domain_breakers.record_sent(now, server.domain),
             ServerEvent::Answered | ServerEvent::Served | ServerEvent::Errored => {
-                state.domains.record_answer(server.domain);
+                state.domain_breakers.record_answer(server.domain);
             }
             ServerEvent::Unresponsive => {
                 // A server that starts again and stays silent is still one server.
-                if state.domains.record_unresponsive(now, server.domain, server.id_key()) {
+                if state.domain_breakers.record_unresponsive(now, server.domain, server.id_key()) {
                     let domain = server.domain.0;
                     log::warn!("event=domain_lost domain={domain:016x} server={}", server.id);
                 }
--- a/src/gateway/gateway_start.rs
+++ b/src/gateway/gateway_start.rs
@@ -1,13 +1,13 @@
-use super::age_loop::run_ages;
+use super::age_loop::poll_config_age;
 use super::caller_loop::serve_callers;
-use super::crash_news::run_crash_news;
 use super::crash_store::run_crash_store;
+use super::crash_updates::run_crash_updates;
 use super::gateway_host::{GatewayHost, StopPhase};
 use super::host_account::run_account;
 use super::limit_charge::run_limit_charges;
 use super::limit_gossip::run_limit_gossip;
 use super::peer_loop::run_peers;
-use super::ready_server::{QuestionKind, serve_questions};
+use super::ready_server::{EndpointKind, serve_endpoint};
 use super::stage_loop::run_stages;
 use super::stop_plan::StopPlan;
 use super::view_loop::run_view;
@@ -59,13 +59,13 @@
     tokio::spawn(serve_peers(peers_listener, key, Arc::clone(&host)));
     tokio::spawn(run_peers(Arc::clone(&host), socket));
     tokio::spawn(serve_callers(callers_listener, Arc::clone(&host)));
-    tokio::spawn(serve_questions(ready_listener, Arc::clone(&host), QuestionKind::Ready));
-    tokio::spawn(serve_questions(metrics_listener, Arc::clone(&host), QuestionKind::Metrics));
+    tokio::spawn(serve_endpoint(ready_listener, Arc::clone(&host), EndpointKind::Ready));
+    tokio::spawn(serve_endpoint(metrics_listener, Arc::clone(&host), EndpointKind::Metrics));
     tokio::spawn(run_view(Arc::clone(&host)));
     tokio::spawn(run_stages(Arc::clone(&host)));
-    tokio::spawn(run_ages(Arc::clone(&host)));
+    tokio::spawn(poll_config_age(Arc::clone(&host)));
     tokio::spawn(run_limit_charges(Arc::clone(&host)));
-    tokio::spawn(run_crash_news(Arc::clone(&host)));
+    tokio::spawn(run_crash_updates(Arc::clone(&host)));
     tokio::spawn(run_limit_gossip(Arc::clone(&host)));
     tokio::spawn(run_crash_store(Arc::clone(&host)));
     tokio::spawn(run_account(Arc::clone(&host)));
@@ -80,18 +80,18 @@
     /// Stops as planned: callers are sent elsewhere first, then no more requests are read, and the
     /// process ends when those under way have ended or the platform's patience has. Returns how many are
     /// cut off by its end.
-    pub async fn stop_gently(self: &Arc<Self>) -> u64 {
+    pub async fn stop_gracefully(self: &Arc<Self>) -> u64 {
         let plan = StopPlan::new(self.state().bounds.grace);
-        let ends = self.now() + plan.ends;
-        self.stop.send_replace(StopPhase::Leaving);
+        let ends = self.now() + plan.exit_after;
+        self.stop.send_replace(StopPhase::Draining);
         let farewell = {
             let mut state = self.state();
             state.members.start_draining();
             state.members.push_updates(usize::MAX, usize::MAX)
         };
-        self.carry_out(farewell);
+        self.execute_orders(farewell);
         log::info!("event=stop_began in_flight={}", self.in_flight.load(Ordering::Relaxed));
-        tokio::time::sleep(plan.leaving).await;
+        tokio::time::sleep(plan.drain_time).await;
         self.stop.send_replace(StopPhase::Closing);
         // A connection that is told to close may have a request to read in the same turn, so that only a
         // later look can see that nothing is under way.
--- a/src/gateway/flight_guard.rs
+++ b/src/gateway/in_flight_guard.rs
@@ -4,16 +4,16 @@
 
 /// Counts requests under way, so that a planned stop can wait for them.
 #[derive(Debug)]
-pub(super) struct FlightGuard(Arc<GatewayHost>);
+pub(super) struct InFlightGuard(Arc<GatewayHost>);
 
-impl FlightGuard {
+impl InFlightGuard {
     pub fn new(host: &Arc<GatewayHost>) -> Self {
         host.in_flight.fetch_add(1, Ordering::Relaxed);
         Self(Arc::clone(host))
     }
 }
 
-impl Drop for FlightGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
--- a/src/gateway/limit_answers.rs
+++ b/src/gateway/limit_answers.rs
@@ -27,7 +27,7 @@
             }
         };
         let (now, key) = (self.now(), server.key());
-        let (change, report) = self.state().sends.apply_answer(now, sent_at, key, limit);
+        let (change, report) = self.state().send_control.apply_answer(now, sent_at, key, limit);
         if let Some(change) = change {
             self.announce_limit_change(&change, "answer");
         }
@@ -51,7 +51,7 @@
     /// server's owner.
     pub(super) fn receive_limit_observation(&self, observation: &LimitObservation) {
         let now = self.now();
-        let changes = self.state().sends.apply_observation(now, observation);
+        let changes = self.state().send_control.apply_observation(now, observation);
         for change in changes {
             self.announce_limit_change(&change, "owner");
         }
--- a/src/gateway/limit_charge.rs
+++ b/src/gateway/limit_charge.rs
@@ -58,7 +58,7 @@
     pub fn refund_charge(&self) {
         let Some(charge) = self.charge else { return };
         let now = self.host.now();
-        self.host.state().meter.release(now, charge.org, charge.units);
+        self.host.state().limit_meter.release(now, charge.org, charge.units);
     }
 }
 
@@ -75,7 +75,7 @@
 impl GatewayHost {
     async fn request_grant(self: &Arc<Self>, id: &str, charge: LimitCharge) -> OwnerDecision {
         let asked_at = self.now();
-        let request = self.state().meter.request_units(asked_at, charge.org, charge.units);
+        let request = self.state().limit_meter.request_units(asked_at, charge.org, charge.units);
         let mut reply = self.query_owner(&request).await;
         while reply.is_none() && self.is_young() {
             tokio::time::sleep(YOUNG_RETRY_PAUSE).await;
@@ -89,14 +89,14 @@
             };
             let (_, hosts) = state.count_domain_hosts(self.domain());
             let allowed =
-                state.meter.use_without_owner(now, charge.org, charge.units, &share, hosts);
+                state.limit_meter.use_without_owner(now, charge.org, charge.units, &share, hosts);
             let (org, units) = (charge.org.0, charge.units);
             log::info!(
                 "event=limit_alone request={id} org={org:016x} units={units} allowed={allowed}"
             );
             return if allowed { OwnerDecision::Granted } else { OwnerDecision::Unknown };
         };
-        state.meter.apply_reply(now, &reply, charge.units);
+        state.limit_meter.apply_reply(now, &reply, charge.units);
         match reply.refused_ms {
             None => OwnerDecision::Granted,
             Some(millis) => OwnerDecision::Refused(Duration::from_millis(millis.into())),
@@ -120,7 +120,8 @@
 
     async fn query_host(&self, owner: MemberUpdate, request: &LimitRequest) -> Option<LimitReply> {
         let datagram = GatewayDatagram::LimitRequest(self.incarnation, *request);
-        let reply = self.ask_twice(&self.limit_waits, request.sequence, owner, &datagram).await;
+        let reply =
+            self.request_reply(&self.limit_replies, request.sequence, owner, &datagram).await;
         if reply.is_none() {
             let (owner, org) = (owner.incarnation, request.org.0);
             log::info!("event=limit_owner_silent owner={owner} org={org:016x}");
@@ -144,16 +145,16 @@
                 // continue from what the last owner had left, but starts with nothing of its own.
                 share.initial = 0.0;
             }
-            let is_new = !state.ledger.has_account(request.org);
+            let is_new = !state.limit_ledger.has_account(request.org);
             let window = state.bounds.limits.window;
             let is_settled = is_owner
                 && state.members.is_settled(now, window)
-                && state.ledger.term().lasts_for(now, window);
-            let reply = state.ledger.receive(now, from, request, &share, is_settled);
+                && state.limit_ledger.term().lasts_for(now, window);
+            let reply = state.limit_ledger.receive(now, from, request, &share, is_settled);
             if is_new {
                 log_account(request, &share, &reply, is_owner, is_settled);
             }
-            (reply, share, state.ledger.wants_loan(now, request.org, &share))
+            (reply, share, state.limit_ledger.wants_loan(now, request.org, &share))
         };
         if is_short {
             self.request_loans(now, request.org, &share);
@@ -163,7 +164,7 @@
 
     fn request_loans(&self, now: TimePoint, org: OrgKey, share: &LimitShare) {
         let lenders = self.other_owners(now, org);
-        let loans = self.state().ledger.request_loans(now, org, share, lenders.len());
+        let loans = self.state().limit_ledger.request_loans(now, org, share, lenders.len());
         for (owner, loan) in lenders.iter().zip(loans) {
             self.send(owner.address, &GatewayDatagram::LoanRequest(loan));
         }
@@ -203,10 +204,10 @@
         let loan = {
             let mut state = self.state();
             let Some(share) = state.domain_share(request.org, self.domain()) else { return };
-            state.ledger.lend(now, request, &share)
+            state.limit_ledger.lend(now, request, &share)
         };
         if let Some(loan) = loan {
-            self.send(from, &GatewayDatagram::LimitLoan(loan));
+            self.send(from, &GatewayDatagram::LoanReply(loan));
         }
     }
 
@@ -215,17 +216,17 @@
         let now = self.now();
         let mut state = self.state();
         let Some(share) = state.domain_share(loan.org, self.domain()) else { return };
-        state.ledger.accept_loan(now, loan, &share);
+        state.limit_ledger.accept_loan(now, loan, &share);
     }
 
     /// Discards what this host granted of limits and of retries of which it was not the owner all the time.
     fn discard_unowned_accounts(&self) {
         let (now, domain) = (self.now(), self.domain());
         let mut state = self.state();
-        let mut ledger = std::mem::take(&mut state.ledger);
+        let mut ledger = std::mem::take(&mut state.limit_ledger);
         let since = ledger.term().renewed_at();
         ledger.check_ownership(now, |org| state.has_owned_share(now, org, domain, since));
-        state.ledger = ledger;
+        state.limit_ledger = ledger;
         let mut pools = std::mem::take(&mut state.retry_pools);
         let since = pools.term().renewed_at();
         pools.check_ownership(now, |service| state.has_owned_share(now, service, domain, since));
@@ -234,7 +235,7 @@
 
     fn report_use(&self) {
         let now = self.now();
-        let unreported = self.state().meter.unsent(now);
+        let unreported = self.state().limit_meter.unsent(now);
         for request in unreported {
             let owner = self.state().owner(now, request.org, self.domain());
             match owner {
@@ -282,7 +283,7 @@
     fn owner(&self, now: TimePoint, org: OrgKey, domain: NameKey) -> OwnerChoice {
         let hosts = self.members.owners(domain).map(|(_, host)| host);
         let is_alone = self.members.is_alone();
-        choose_owner(now, org, self.members.own().incarnation, is_alone, hosts, &self.silent)
+        choose_owner(now, org, self.members.own().incarnation, is_alone, hosts, &self.silent_owners)
     }
 
     /// Whether this host owns a failure domain's share of a limit or retry pool, without a break since `since`.
@@ -328,7 +329,7 @@
     /// Applies the limits of a changed configuration, which may be lower.
     pub(super) fn lower_limits(&mut self, now: TimePoint) {
         let (routes, bounds) = (Arc::clone(&self.routes), self.bounds.limits);
-        self.ledger.clamp_levels(now, |org| {
+        self.limit_ledger.clamp_levels(now, |org| {
             let limit = routes.organisations().organisation(org)?.limit?;
             Some(LimitShare::for_domain(&limit, &bounds))
         });
--- a/src/gateway/limit_gossip.rs
+++ b/src/gateway/limit_gossip.rs
@@ -37,13 +37,13 @@
 impl GatewayHost {
     fn send_server_limits(&self) {
         let now = self.now();
-        let updates = self.state().sends.limits.unsent(now);
+        let updates = self.state().send_control.limits.unsent(now);
         if updates.is_empty() {
             return;
         }
-        let serial = self.load_serial.fetch_add(1, Ordering::Relaxed);
+        let serial = self.gossip_round.fetch_add(1, Ordering::Relaxed);
         let datagram = GatewayDatagram::ServerLimits(updates);
-        for target in self.load_targets(serial, NEAR_TARGETS, REMOTE_TARGETS) {
+        for target in self.gossip_targets(serial, NEAR_TARGETS, REMOTE_TARGETS) {
             self.send(target, &datagram);
         }
     }
@@ -52,16 +52,16 @@
     /// servers that other hosts own now.
     fn report_sends(&self) {
         let now = self.now();
-        let limited: Vec<ServerKey> = self.state().sends.limited(now);
-        let since = self.state().sends.ledger.term().renewed_at();
+        let limited: Vec<ServerKey> = self.state().send_control.limited(now);
+        let since = self.state().send_control.ledger.term().renewed_at();
         let owned: Vec<ServerKey> = limited
             .iter()
             .copied()
             .filter(|server| self.state().has_owned_sends(now, *server, since))
             .collect();
-        self.state().sends.ledger.retain(now, |server| owned.contains(&server));
+        self.state().send_control.ledger.retain(now, |server| owned.contains(&server));
         for server in limited {
-            if self.state().sends.log.recent(now, server, LOG_RETENTION) > 0 {
+            if self.state().send_control.log.recent(now, server, LOG_RETENTION) > 0 {
                 self.notify_owner(server, CallRank::default(), PermitPurpose::Report);
             }
         }
@@ -72,7 +72,10 @@
         let now = self.now();
         let changes: Vec<LimitChange> = {
             let mut state = self.state();
-            updates.iter().filter_map(|update| state.sends.limits.merge(now, update)).collect()
+            updates
+                .iter()
+                .filter_map(|update| state.send_control.limits.merge(now, update))
+                .collect()
         };
         for change in changes {
             self.announce_limit_change(&change, "peer");
@@ -87,7 +90,7 @@
         let (id, sent) = {
             let state = self.state();
             let id = state.fleet.entry(server).map(|entry| entry.id.clone());
-            (id.unwrap_or_default(), state.sends.log.recent(now, server, LOG_RETENTION))
+            (id.unwrap_or_default(), state.send_control.log.recent(now, server, LOG_RETENTION))
         };
         let text = |limit: Option<ServerLimit>| {
             limit.map_or_else(|| "-".to_owned(), |limit| limit.to_string())
--- a/src/gateway/load_guard.rs
+++ b/src/gateway/load_guard.rs
@@ -13,20 +13,20 @@
 
 impl LoadGuard {
     pub fn new(host: &Arc<GatewayHost>, server: ServerKey, load: ServerLoad) -> Self {
-        host.state().board.add(server, load);
+        host.state().server_loads.add(server, load);
         Self { host: Arc::clone(host), server, load }
     }
 
     /// The work takes `tokens` more memory.
     pub fn grow(&mut self, tokens: u32) {
         let more = ServerLoad { memory_tokens: tokens, ..ServerLoad::default() };
-        self.host.state().board.add(self.server, more);
+        self.host.state().server_loads.add(self.server, more);
         self.load.memory_tokens += tokens;
     }
 }
 
 impl Drop for LoadGuard {
     fn drop(&mut self) {
-        self.host.state().board.remove(self.server, self.load);
+        self.host.state().server_loads.remove(self.server, self.load);
     }
 }
--- a/src/gateway/load_news.rs
+++ b/src/gateway/load_updates.rs
@@ -1,7 +1,7 @@
 //! Tells the other daemons this host's load, and at once what they must not wait for.
 
 use super::gateway_host::GatewayHost;
-use super::peer_messages::{GatewayDatagram, HostNotice, LoadNews};
+use super::peer_messages::{GatewayDatagram, HostNotice, LoadUpdate};
 use crate::fleet::ServerStage;
 use crate::keys::{ServerKey, mix_hash};
 use crate::membership::{MemberState, MemberUpdate};
@@ -26,60 +26,65 @@
 const QUIET_REPEAT: u64 = 4;
 
 /// Tells the load of this host in turn.
-pub(super) async fn run_load_news(host: Arc<GatewayHost>) {
+pub(super) async fn run_load_updates(host: Arc<GatewayHost>) {
     let mut ticker = tokio::time::interval(LOAD_PERIOD);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let (mut round, mut told) = (0_u64, u64::MAX);
     loop {
         ticker.tick().await;
         round += 1;
-        let changes = host.state().board.change_count();
+        let changes = host.state().server_loads.change_count();
         if changes == told && !round.is_multiple_of(QUIET_REPEAT) {
             continue;
         }
         told = changes;
-        host.tell_load(LOAD_NEAR, LOAD_ABROAD);
+        host.send_load_update(LOAD_NEAR, LOAD_ABROAD);
     }
 }
 
 impl GatewayHost {
     /// Takes over another host's load.
-    pub(super) fn hear_load(self: &Arc<Self>, from_address: SocketAddr, news: LoadNews) {
+    pub(super) fn apply_load_update(self: &Arc<Self>, from_address: SocketAddr, news: LoadUpdate) {
         let now = self.now();
-        self.hear_mark(news.view);
-        self.hear_ages(news.view, news.ages);
+        self.apply_view_mark(news.view);
+        self.apply_view_ages(news.view, news.ages);
         let heard = Duration::from_millis(news.store_age_ms.into());
         let from = news.notice.incarnation;
         {
             let mut state = self.state();
-            state.board.apply_update(now, from, news.version, news.loads.into_iter().collect());
+            state.server_loads.apply_update(
+                now,
+                from,
+                news.version,
+                news.loads.into_iter().collect(),
+            );
             state.fleet.record_store_answer(now, heard);
             for (service, sums) in news.work {
-                state.heard_work.insert((from, service), (now, sums));
+                state.peer_work.insert((from, service), (now, sums));
             }
         }
         if self.state().view_mark().is_behind(news.view) {
             self.fetch_view(from_address);
         }
-        self.hear_notice(news.notice);
+        self.apply_notice(news.notice);
     }
 
     /// Takes over what another host tells at once.
-    pub(super) fn hear_notice(&self, notice: HostNotice) {
+    pub(super) fn apply_notice(&self, notice: HostNotice) {
         let now = self.now();
         let mut state = self.state();
-        state.refused.record(now, notice.incarnation, notice.store_refused);
+        state.refused_hosts.record(now, notice.incarnation, notice.store_refused);
         state.members.record_received(now, notice.incarnation);
         for (key, to) in notice.changing {
-            state.changes.record_announcement(now, key, to);
+            state.stage_changes.record_announcement(now, key, to);
         }
     }
 
     /// Tells all hosts what they must not wait for: that a server changes its stage, or that the
     /// store refuses this host.
-    pub fn tell_everyone(&self) {
-        let serial = self.load_serial.fetch_add(1, Ordering::Relaxed);
-        let targets = self.load_targets(serial, usize::MAX, usize::MAX);
+    pub fn broadcast_notices(&self) {
+        let serial = self.gossip_round.fetch_add(1, Ordering::Relaxed);
+        let targets = self.gossip_targets(serial, usize::MAX, usize::MAX);
         for notice in self.own_notices() {
             let notice = GatewayDatagram::Notice(notice);
             for target in &targets {
@@ -88,11 +93,11 @@
         }
     }
 
-    fn tell_load(&self, most_near: usize, most_abroad: usize) {
-        let serial = self.load_serial.fetch_add(1, Ordering::Relaxed);
+    fn send_load_update(&self, most_near: usize, most_abroad: usize) {
+        let serial = self.gossip_round.fetch_add(1, Ordering::Relaxed);
         let news = GatewayDatagram::Load(self.own_load(serial));
-        let mut targets = self.load_targets(serial, most_near, most_abroad);
-        targets.extend(self.state().fellow_watchers());
+        let mut targets = self.gossip_targets(serial, most_near, most_abroad);
+        targets.extend(self.state().watcher_candidates());
         targets.sort_unstable();
         targets.dedup();
         for target in targets {
@@ -104,11 +109,11 @@
     fn own_notices(&self) -> Vec<HostNotice> {
         let now = self.now();
         let state = self.state();
-        let store_refused = state.refused.is_refused(now, self.incarnation);
+        let store_refused = state.refused_hosts.is_refused(now, self.incarnation);
         let incarnation = self.incarnation;
         let notice =
             |changing: &[_]| HostNotice { incarnation, store_refused, changing: changing.to_vec() };
-        let changing: Vec<(ServerKey, ServerStage)> = state.changes.ordered().collect();
+        let changing: Vec<(ServerKey, ServerStage)> = state.stage_changes.ordered().collect();
         if changing.is_empty() {
             return vec![notice(&[])];
         }
@@ -117,25 +122,25 @@
 
     /// The news number `version` of this host's load, with any one part of its changes of stage: parts that followed each
     /// other by a number that other news count on as well could leave one out for ever.
-    fn own_load(&self, version: u64) -> LoadNews {
+    fn own_load(&self, version: u64) -> LoadUpdate {
         let mut notices = self.own_notices();
         let place = rand::random_range(0..notices.len());
         let notice = notices.swap_remove(place);
         let now = self.now();
         let state = self.state();
-        LoadNews {
+        LoadUpdate {
             notice,
             version,
             store_age_ms: u32::try_from(state.fleet.store_age(now).as_millis()).unwrap_or(u32::MAX),
             view: state.view_mark(),
             ages: state.view_ages(now),
-            work: state.work.iter().map(|(key, meter)| (*key, meter.sums(now))).collect(),
-            loads: state.board.heaviest_own(MOST_LOADS_TOLD),
+            work: state.work_meters.iter().map(|(key, meter)| (*key, meter.sums(now))).collect(),
+            loads: state.server_loads.heaviest_own(MOST_LOADS_TOLD),
         }
     }
 
     /// Some hosts of the own failure domain and fewer of others, other ones each round.
-    pub(super) fn load_targets(
+    pub(super) fn gossip_targets(
         &self,
         round: u64,
         most_near: usize,
--- a/src/gateway/peer_loop.rs
+++ b/src/gateway/peer_loop.rs
@@ -1,7 +1,7 @@
 //! Talks to the other daemons: takes their datagrams, keeps the members, and answers what they ask.
 
 use super::gateway_host::GatewayHost;
-use super::load_news::run_load_news;
+use super::load_updates::run_load_updates;
 use super::peer_messages::{GatewayDatagram, GatewayReply, GatewayRequest};
 use crate::membership::TableAction;
 use crate::peers::{PeerHandler, open_datagram, seal_datagram};
@@ -21,7 +21,7 @@
     tokio::join!(
         receive(Arc::clone(&host), Arc::clone(&socket)),
         tick_members(Arc::clone(&host)),
-        run_load_news(host)
+        run_load_updates(host)
     );
 }
 
@@ -34,35 +34,39 @@
         };
         match open_datagram(&host.settings.shared_key, &buffer[..length]) {
             Ok(GatewayDatagram::Probe(message)) => {
-                host.hear_mark(message.view);
+                host.apply_view_mark(message.view);
                 let now = host.now();
                 let orders = host.state().members.receive(now, &message);
-                host.carry_out(orders);
+                host.execute_orders(orders);
             }
-            Ok(GatewayDatagram::Load(news)) => host.hear_load(address, news),
-            Ok(GatewayDatagram::Notice(notice)) => host.hear_notice(notice),
-            Ok(GatewayDatagram::AgeRequest(question)) => host.answer_age(address, question),
-            Ok(GatewayDatagram::AgeReply(answer)) => host.hear_age(address, answer),
+            Ok(GatewayDatagram::Load(news)) => host.apply_load_update(address, news),
+            Ok(GatewayDatagram::Notice(notice)) => host.apply_notice(notice),
+            Ok(GatewayDatagram::AgeRequest(question)) => host.reply_config_age(address, question),
+            Ok(GatewayDatagram::AgeReply(answer)) => host.apply_age_reply(address, answer),
             Ok(GatewayDatagram::LimitRequest(from, ask)) => {
                 host.receive_limit_request(address, from, &ask)
             }
             Ok(GatewayDatagram::LimitReply(answer)) => {
                 // Nobody waits for one that comes late; the next question tells what was used.
-                host.limit_waits.end(answer.sequence, answer);
+                host.limit_replies.complete(answer.sequence, answer);
             }
             Ok(GatewayDatagram::LoanRequest(ask)) => host.receive_loan_request(address, &ask),
-            Ok(GatewayDatagram::LimitLoan(loan)) => host.receive_loan(&loan),
-            Ok(GatewayDatagram::Crashes(report)) => host.hear_crashes(&report),
+            Ok(GatewayDatagram::LoanReply(loan)) => host.receive_loan(&loan),
+            Ok(GatewayDatagram::Crashes(report)) => host.apply_crash_report(&report),
             Ok(GatewayDatagram::ServerLimits(news)) => host.receive_server_limits(&news),
             Ok(GatewayDatagram::PermitRequest(from, ask)) => {
                 host.receive_permit_request(address, from, &ask)
             }
-            Ok(GatewayDatagram::PermitReply(reply)) => host.send_waits.end(reply.sequence, reply),
+            Ok(GatewayDatagram::PermitReply(reply)) => {
+                host.send_replies.complete(reply.sequence, reply)
+            }
             Ok(GatewayDatagram::LimitObservation(answered)) => {
                 host.receive_limit_observation(&answered)
             }
             Ok(GatewayDatagram::RetryRequest(ask)) => host.receive_retry_request(address, &ask),
-            Ok(GatewayDatagram::RetryReply(reply)) => host.retry_waits.end(reply.sequence, reply),
+            Ok(GatewayDatagram::RetryReply(reply)) => {
+                host.retry_replies.complete(reply.sequence, reply)
+            }
             Err(error) => {
                 log::warn!("event=datagram_refused peer={address} cause=\"{error}\"");
             }
@@ -78,7 +82,7 @@
         ticker.tick().await;
         let now = host.now();
         let orders = host.state().members.tick(now);
-        host.carry_out(orders);
+        host.execute_orders(orders);
     }
 }
 
@@ -102,7 +106,7 @@
         let now = host.now();
         let state = host.state();
         let (members, crashes) = (state.members.all_updates(), state.crashes.full_report(now));
-        GatewayRequest::Sync { members, crashes, limits: state.sends.limits.all() }
+        GatewayRequest::Sync { members, crashes, limits: state.send_control.limits.all() }
     };
     let reply = host.peers.call(address, &request, COMPARE_LIMIT).await;
     let Ok(GatewayReply::Members { members, crashes, limits }) = reply else {
@@ -110,15 +114,15 @@
     };
     let now = host.now();
     let orders = host.state().members.merge_all(now, &members);
-    host.carry_out(orders);
-    host.hear_crashes(&crashes);
+    host.execute_orders(orders);
+    host.apply_crash_report(&crashes);
     host.receive_server_limits(&limits);
     true
 }
 
 impl GatewayHost {
     /// Carries out what the membership table wants done.
-    pub(super) fn carry_out(self: &Arc<Self>, orders: Vec<TableAction>) {
+    pub(super) fn execute_orders(self: &Arc<Self>, orders: Vec<TableAction>) {
         for order in orders {
             match order {
                 TableAction::Send(address, message) => {
@@ -164,19 +168,19 @@
         match request {
             GatewayRequest::Sync { members, crashes, limits } => {
                 let now = self.now();
-                self.hear_crashes(&crashes);
+                self.apply_crash_report(&crashes);
                 self.receive_server_limits(&limits);
                 let mut state = self.state();
                 let orders = state.members.merge_all(now, &members);
                 let (members, crashes) =
                     (state.members.all_updates(), state.crashes.full_report(now));
-                let limits = state.sends.limits.all();
+                let limits = state.send_control.limits.all();
                 drop(state);
-                self.carry_out(orders);
+                self.execute_orders(orders);
                 GatewayReply::Members { members, crashes, limits }
             }
             GatewayRequest::View { routes_version, known, fleet_revision, age } => {
-                let age = self.own_age(age);
+                let age = self.config_age_reply(age);
                 let now = self.now();
                 let state = self.state();
                 let routes = (state.routes.version() > routes_version)
--- a/src/gateway/peer_messages.rs
+++ b/src/gateway/peer_messages.rs
@@ -16,7 +16,7 @@
     /// Membership.
     Probe(ProbeMessage),
     /// What the sender has under way.
-    Load(LoadNews),
+    Load(LoadUpdate),
     /// What the others must know at once; small, since it goes to all of them.
     Notice(HostNotice),
     /// How old is your configuration?
@@ -30,7 +30,7 @@
     /// An owner asks that of another failure domain.
     LoanRequest(LoanRequest),
     /// Units lent to it.
-    LimitLoan(LimitLoan),
+    LoanReply(LimitLoan),
     /// Servers that crashed, and under which requests.
     Crashes(CrashReport),
     /// Limits that backend servers named.
@@ -58,7 +58,7 @@
             Self::LimitRequest(..)
             | Self::LimitReply(_)
             | Self::LoanRequest(_)
-            | Self::LimitLoan(_) => ("limits_sent", "limits_sent_bytes"),
+            | Self::LoanReply(_) => ("limits_sent", "limits_sent_bytes"),
             Self::Crashes(_) => ("crashes_sent", "crashes_sent_bytes"),
             Self::ServerLimits(_)
             | Self::PermitRequest(..)
@@ -91,7 +91,7 @@
 
 /// One host's own work and how fresh its view is.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct LoadNews {
+pub struct LoadUpdate {
     /// Who sends it, and what else it would tell at once.
     pub notice: HostNotice,
     /// Rises with each that the host sends.
--- a/src/gateway/reply_waits.rs
+++ b/src/gateway/pending_replies.rs
@@ -14,17 +14,17 @@
 
 /// Requests that wait for an owner's reply, by the sequence of their question.
 #[derive(Debug)]
-pub(super) struct ReplyWaits<T>(Mutex<HashMap<u32, oneshot::Sender<T>>>);
+pub(super) struct PendingReplies<T>(Mutex<HashMap<u32, oneshot::Sender<T>>>);
 
-impl<T> Default for ReplyWaits<T> {
+impl<T> Default for PendingReplies<T> {
     fn default() -> Self {
         Self(Mutex::default())
     }
 }
 
-impl<T> ReplyWaits<T> {
+impl<T> PendingReplies<T> {
     /// Waits for the reply to the question `sequence`; dropping the receiver ends the wait.
-    fn wait(&self, sequence: u32) -> oneshot::Receiver<T> {
+    fn register(&self, sequence: u32) -> oneshot::Receiver<T> {
         let (sender, receiver) = oneshot::channel();
         let mut waits = crate::host::lock(&self.0);
         waits.retain(|_, sender| !sender.is_closed());
@@ -33,7 +33,7 @@
     }
 
     /// The owner replied; a reply for which nobody waits comes late.
-    pub fn end(&self, sequence: u32, reply: T) {
+    pub fn complete(&self, sequence: u32, reply: T) {
         if let Some(sender) = crate::host::lock(&self.0).remove(&sequence) {
             // Whoever waited may have given up.
             drop(sender.send(reply));
@@ -43,14 +43,14 @@
 
 impl GatewayHost {
     /// Asks an owner, twice if it does not reply at once.
-    pub(super) async fn ask_twice<T>(
+    pub(super) async fn request_reply<T>(
         &self,
-        waits: &ReplyWaits<T>,
+        waits: &PendingReplies<T>,
         sequence: u32,
         owner: MemberUpdate,
         question: &GatewayDatagram,
     ) -> Option<T> {
-        let mut reply = waits.wait(sequence);
+        let mut reply = waits.register(sequence);
         for wait in [FIRST_WAIT, SECOND_WAIT] {
             self.send(owner.address, question);
             if let Ok(Ok(reply)) = tokio::time::timeout(wait, &mut reply).await {
@@ -58,7 +58,7 @@
             }
         }
         let now = self.now();
-        self.state().silent.record(now, owner.incarnation);
+        self.state().silent_owners.record(now, owner.incarnation);
         None
     }
 }
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -4,7 +4,7 @@
 use super::run_open::refuse;
 use super::send_permit::SendPermit;
 use super::server_call::{CallPurpose, send_request};
-use super::server_ranking::ServerWish;
+use super::server_ranking::ServerCriteria;
 use crate::fleet::ServerEntry;
 use crate::keys::ServerKey;
 use crate::placement::{REMOTE_DOMAIN_PENALTY, RankingCriterion, ServerEvent, ServerLoad};
@@ -90,9 +90,14 @@
         return None;
     }
     let (kind, near) = (RankingCriterion::Requests, context.host.domain());
-    let wish =
-        ServerWish { stage: None, kind, near, abroad: REMOTE_DOMAIN_PENALTY, rank: context.rank };
-    let ranked = context.host.ranked(context.service, &wish);
+    let wish = ServerCriteria {
+        stage: None,
+        kind,
+        local_domain: near,
+        remote_penalty: REMOTE_DOMAIN_PENALTY,
+        rank: context.rank,
+    };
+    let ranked = context.host.rank_ready_servers(context.service, &wish);
     let untried = ranked.into_iter().filter(|server| !record.tried.contains(&server.key()));
     let (server, permit) = first_permitted(context, untried).await?;
     let is_retry = record.sent > 0;
@@ -131,7 +136,7 @@
             CallEnd::Unknown("no_answer")
         };
     }
-    if context.is_surely_held_back(record.sent) {
+    if context.is_known_held_back(record.sent) {
         return refuse(NotRunReason::HeldBack);
     }
     if context.is_blocked_by_limits(None) {
@@ -149,7 +154,7 @@
 ) -> AttemptEnd {
     let load = ServerLoad { requests: 1, ..ServerLoad::default() };
     let _load = LoadGuard::new(&context.host, server.key(), load);
-    context.host.note_server(server, ServerEvent::Sent);
+    context.host.record_server_event(server, ServerEvent::Sent);
     let repeatable = context.route.is_retryable();
     let may_retry = repeatable && record.sent + 1 < context.route.max_servers;
     let silence_timeout = context.route.objective * SILENCE_OBJECTIVES;
@@ -160,7 +165,7 @@
         Ok(Err(Error::NotSent(_))) => AttemptEnd::NotSent,
         Ok(Err(Error::Foreign { .. })) => AttemptEnd::Unknown("foreign_answer"),
         Ok(Err(error)) => {
-            context.note_failure(server, &error);
+            context.record_failure(server, &error);
             log::debug!("event=server_broke_off server={} cause=\"{error}\"", server.id);
             AttemptEnd::Unknown("server_broke_off")
         }
@@ -193,7 +198,7 @@
     if !states_end && holds_answer(&body) {
         return Ok(AttemptEnd::Unknown("answer_with_another"));
     }
-    context.note_answered();
+    context.record_success();
     let answer = ServerAnswer { status: parts.status, headers: parts.headers, body };
     Ok(if kind == AnswerKind::Success {
         AttemptEnd::Answered(answer)
@@ -208,7 +213,7 @@
         AttemptEnd::Failed(_) | AttemptEnd::NotRun | AttemptEnd::Unknown(_) => ServerEvent::Errored,
         AttemptEnd::NotSent | AttemptEnd::Silent => ServerEvent::Unresponsive,
     };
-    context.host.note_server(server, note);
+    context.host.record_server_event(server, note);
     let name = match end {
         AttemptEnd::Answered(_) => return,
         AttemptEnd::Failed(_) => "failed",
--- a/src/gateway/prompt_read.rs
+++ b/src/gateway/prompt_read.rs
@@ -3,7 +3,7 @@
 use super::load_guard::LoadGuard;
 use super::send_permit::SendPermit;
 use super::server_call::{CallPurpose, send_request};
-use super::server_ranking::ServerWish;
+use super::server_ranking::ServerCriteria;
 use crate::fleet::{ServerEntry, ServerStage};
 use crate::keys::NameKey;
 use crate::placement::{
@@ -41,14 +41,14 @@
         return PromptEnd::LeftToDecode;
     }
     let (kind, rank) = (RankingCriterion::PromptQueue(FULL_QUEUE_TOKENS), context.rank);
-    let wish = ServerWish {
+    let wish = ServerCriteria {
         stage: Some(ServerStage::Prefill),
         kind,
-        near,
-        abroad: REMOTE_DOMAIN_PENALTY,
+        local_domain: near,
+        remote_penalty: REMOTE_DOMAIN_PENALTY,
         rank,
     };
-    let ranked = context.host.ranked(context.service, &wish);
+    let ranked = context.host.rank_ready_servers(context.service, &wish);
     let wait = ranked.first().map(|best| context.host.prompt_wait(context.service, best));
     if choose_reader(wait, context.route.objective) == PromptReader::Decode {
         let wait = wait.map_or(-1, |wait| i64::try_from(wait.as_millis()).unwrap_or(i64::MAX));
@@ -80,17 +80,17 @@
             Ok(ReadEnd::Rejected) => {
                 // Its queue is empty because it reads no prompts: it is changing its stage, and the
                 // host that ordered the change has not announced it, or is gone.
-                context.host.note_server(server, ServerEvent::Errored);
+                context.host.record_server_event(server, ServerEvent::Errored);
                 let now = context.host.now();
-                context.host.state().changes.record_suspicion(now, server.key());
+                context.host.state().stage_changes.record_suspicion(now, server.key());
             }
             Ok(ReadEnd::Failed) => {
-                context.host.note_server(server, ServerEvent::Errored);
+                context.host.record_server_event(server, ServerEvent::Errored);
                 break;
             }
             Err(error) => {
-                context.note_failure(server, &error);
-                context.host.note_server(server, ServerEvent::Unresponsive);
+                context.record_failure(server, &error);
+                context.host.record_server_event(server, ServerEvent::Unresponsive);
                 let (id, contents, server) = (context.id(), context.contents, &server.id);
                 log::info!(
                     "event=prompt_unread request={id} contents={contents} server={server} \
@@ -135,20 +135,20 @@
     let tokens = context.head.tokens.prompt;
     let load = ServerLoad { requests: 1, prompt_tokens: tokens, ..ServerLoad::default() };
     let _load = LoadGuard::new(&context.host, server.key(), load);
-    context.host.note_server(server, ServerEvent::Sent);
+    context.host.record_server_event(server, ServerEvent::Sent);
     let timeout = READ_TIMEOUT.min(context.time_left());
     let began = context.host.now();
     let exchange = request_read(context, server, timeout, &mut permit);
     let read =
         tokio::time::timeout(timeout, exchange).await.map_err(|_elapsed| Error::Timeout)??;
     if matches!(read, ReadEnd::Read(_)) {
-        context.host.note_server(server, ServerEvent::Served);
+        context.host.record_server_event(server, ServerEvent::Served);
         let now = context.host.now();
         let took = now.since(began);
         context
             .host
             .state()
-            .work
+            .work_meters
             .entry(context.service)
             .or_default()
             .record_read(now, tokens, took);
--- a/src/gateway/ready_server.rs
+++ b/src/gateway/ready_server.rs
@@ -15,7 +15,7 @@
 
 /// What a listener of the platform's own questions answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum QuestionKind {
+pub(super) enum EndpointKind {
     /// Whether callers may be sent here.
     Ready,
     /// Metrics as text.
@@ -23,10 +23,10 @@
 }
 
 /// Answers questions of the platform until the listener fails.
-pub(super) async fn serve_questions(
+pub(super) async fn serve_endpoint(
     listener: TcpListener,
     host: Arc<GatewayHost>,
-    kind: QuestionKind,
+    kind: EndpointKind,
 ) {
     loop {
         let stream = match listener.accept().await {
@@ -51,16 +51,16 @@
 
 async fn answer(
     host: Arc<GatewayHost>,
-    kind: QuestionKind,
+    kind: EndpointKind,
     request: Request<Incoming>,
 ) -> Result<CallerAnswer, Infallible> {
     let (status, body) = match kind {
-        QuestionKind::Ready if request.uri().path() != READY_PATH => {
+        EndpointKind::Ready if request.uri().path() != READY_PATH => {
             (StatusCode::NOT_FOUND, String::new())
         }
-        QuestionKind::Ready if host.is_ready() => (StatusCode::OK, String::new()),
-        QuestionKind::Ready => (StatusCode::SERVICE_UNAVAILABLE, String::new()),
-        QuestionKind::Metrics => (StatusCode::OK, host.metrics().prometheus()),
+        EndpointKind::Ready if host.is_ready() => (StatusCode::OK, String::new()),
+        EndpointKind::Ready => (StatusCode::SERVICE_UNAVAILABLE, String::new()),
+        EndpointKind::Metrics => (StatusCode::OK, host.metrics().prometheus()),
     };
     let mut answer = Response::new(CallerBody::Whole(Some(Bytes::from(body))));
     *answer.status_mut() = status;
--- a/src/gateway/retry_grants.rs
+++ b/src/gateway/retry_grants.rs
@@ -18,7 +18,7 @@
             self.metrics().add("repeats_own", count.into());
             return true;
         }
-        let serial = self.serials.fetch_add(1, Ordering::Relaxed);
+        let serial = self.next_serial.fetch_add(1, Ordering::Relaxed);
         let request = RetryRequest { sequence: serial as u32, service, count };
         let granted = self.query_pool(&request).await;
         let name = if granted { "repeats_pooled" } else { "repeats_denied" };
@@ -27,10 +27,10 @@
     }
 
     fn take_own_retries(&self, service: ServiceKey, count: u32) -> bool {
-        let (now, hosts) = (self.now(), self.known_hosts());
+        let (now, hosts) = (self.now(), self.sharing_host_count());
         let mut state = self.state();
         let bounds = state.bounds.retries;
-        state.retries.entry(service).or_default().try_take(now, &bounds, hosts, count)
+        state.retry_windows.entry(service).or_default().try_take(now, &bounds, hosts, count)
     }
 
     async fn query_pool(&self, request: &RetryRequest) -> bool {
@@ -39,7 +39,7 @@
             OwnerChoice::Own => Some(self.grant_retries(request)),
             OwnerChoice::Other(owner) => {
                 let datagram = GatewayDatagram::RetryRequest(*request);
-                self.ask_twice(&self.retry_waits, request.sequence, owner, &datagram).await
+                self.request_reply(&self.retry_replies, request.sequence, owner, &datagram).await
             }
             OwnerChoice::Unknown => None,
         };
@@ -80,6 +80,6 @@
         let own = self.members.own();
         let hosts = self.members.owners(own.domain).map(|(_, host)| host);
         let is_alone = self.members.is_alone();
-        choose_owner(now, service, own.incarnation, is_alone, hosts, &self.silent)
+        choose_owner(now, service, own.incarnation, is_alone, hosts, &self.silent_owners)
     }
 }
--- a/src/gateway/duty_log.rs
+++ b/src/gateway/role_log.rs
@@ -4,12 +4,12 @@
 
 /// Writes down when this host begins to ask the store for a kind itself or ends doing so, and what it knew then.
 #[derive(Debug)]
-pub(super) struct DutyLog {
+pub(super) struct RoleLog {
     kind: FollowedKind,
     duty: WatcherRole,
 }
 
-impl DutyLog {
+impl RoleLog {
     /// A host hears of a kind from others until it is told otherwise.
     pub const fn new(kind: FollowedKind) -> Self {
         Self { kind, duty: WatcherRole::Follow }
--- a/src/gateway/run_open.rs
+++ b/src/gateway/run_open.rs
@@ -144,7 +144,7 @@
         return Err(OpenFailure::NotRun(NotRunReason::OutOfTime));
     }
     // Crashes under other attempts at this request may have become known while its prompt was read.
-    if context.is_surely_held_back(runs.sent) {
+    if context.is_known_held_back(runs.sent) {
         return Err(OpenFailure::NotRun(NotRunReason::HeldBack));
     }
     if discard_if_lost(context, &mut reservation.hold) {
@@ -224,7 +224,7 @@
         // It granted a hold and rejected the run twice: it is changing its stage, and the host that
         // ordered the change has not announced it.
         let now = context.host.now();
-        context.host.state().changes.record_suspicion(now, server.key());
+        context.host.state().stage_changes.record_suspicion(now, server.key());
     }
     let (head, reader, first) = opened?;
     Ok(OpenRun { server: server.clone(), head, reader, first, load })
--- a/src/gateway/run_start.rs
+++ b/src/gateway/run_start.rs
@@ -61,7 +61,7 @@
     permit: &mut SendPermit,
 ) -> Result<RunStart, OpenFailure> {
     runs.sent += 1;
-    context.host.note_server(server, ServerEvent::Sent);
+    context.host.record_server_event(server, ServerEvent::Sent);
     let may_retry = context.route.is_retryable() && runs.sent < context.route.max_servers;
     let timeout =
         if may_retry { FIRST_EVENT_TIMEOUT.min(context.time_left()) } else { context.time_left() };
@@ -75,7 +75,7 @@
         Err(OpenFailure::Unknown(_)) => ServerEvent::Unresponsive,
         Err(_) => ServerEvent::Errored,
     };
-    context.host.note_server(server, note);
+    context.host.record_server_event(server, note);
     runs.may_have_run |=
         !matches!(&started, Err(OpenFailure::NotRun(_) | OpenFailure::Rejected(_)));
     log_start(context, server, part.source.is_some(), &started);
@@ -112,7 +112,7 @@
 }
 
 fn break_off_failure(context: &CallContext, server: &ServerEntry, error: &Error) -> OpenFailure {
-    context.note_failure(server, error);
+    context.record_failure(server, error);
     OpenFailure::Unknown("server_broke_off")
 }
 
@@ -148,7 +148,7 @@
         AnswerKind::Failed => {
             let body = body.read_all().await;
             let body = body.map_err(|error| break_off_failure(context, server, &error))?;
-            context.note_answered();
+            context.record_success();
             let answer = ServerAnswer { status: parts.status, headers: parts.headers, body };
             Err(OpenFailure::Failed(answer))
         }
--- a/src/gateway/send_owner.rs
+++ b/src/gateway/send_owner.rs
@@ -25,11 +25,11 @@
     ) -> Option<TimePoint> {
         let asked_at = self.now();
         let request =
-            self.state().sends.permit_request(asked_at, server, rank, PermitPurpose::Send);
+            self.state().send_control.permit_request(asked_at, server, rank, PermitPurpose::Send);
         let reply = self.query_send_owner(&request).await;
         let now = self.now();
         let timely = reply.filter(|_| now.since(asked_at) < GRANT_LIFETIME);
-        let is_granted = self.state().sends.apply_reply(now, &request, timely.as_ref());
+        let is_granted = self.state().send_control.apply_reply(now, &request, timely.as_ref());
         let wait = match reply.map(|reply| reply.decision) {
             Some(PermitDecision::Granted) => 0,
             Some(PermitDecision::Refused { wait_ms }) => i64::from(wait_ms),
@@ -54,7 +54,7 @@
     ) -> Option<Duration> {
         let now = self.now();
         let request =
-            self.state().sends.permit_request(now, server, rank, PermitPurpose::RetryAfter);
+            self.state().send_control.permit_request(now, server, rank, PermitPurpose::RetryAfter);
         match self.query_send_owner(&request).await?.decision {
             PermitDecision::Granted => Some(Duration::ZERO),
             PermitDecision::Refused { wait_ms } => Some(Duration::from_millis(wait_ms.into())),
@@ -64,7 +64,7 @@
     /// Reports to a server's owner what this host sent there.
     pub(super) fn notify_owner(&self, server: ServerKey, rank: CallRank, purpose: PermitPurpose) {
         let now = self.now();
-        let request = self.state().sends.permit_request(now, server, rank, purpose);
+        let request = self.state().send_control.permit_request(now, server, rank, purpose);
         match self.send_owner(server) {
             OwnerChoice::Own => drop(self.decide_permit(self.incarnation, &request)),
             OwnerChoice::Other(owner) => {
@@ -82,7 +82,7 @@
             OwnerChoice::Own => Some(self.decide_permit(self.incarnation, request)),
             OwnerChoice::Other(owner) => {
                 let datagram = GatewayDatagram::PermitRequest(self.incarnation, request.clone());
-                self.ask_twice(&self.send_waits, request.sequence, owner, &datagram).await
+                self.request_reply(&self.send_replies, request.sequence, owner, &datagram).await
             }
             OwnerChoice::Unknown => None,
         }
@@ -106,7 +106,7 @@
         let (reply, change) = {
             let mut state = self.state();
             let is_owner = state.send_owner(now, request.update.server) == OwnerChoice::Own;
-            state.sends.receive(now, from, request, is_owner)
+            state.send_control.receive(now, from, request, is_owner)
         };
         if let Some(change) = change {
             self.announce_limit_change(&change, "peer");
@@ -150,6 +150,6 @@
         }
         let is_alone = self.members.is_alone();
         let own = self.members.own().incarnation;
-        choose_owner(now, server, own, is_alone, hosts.into_iter(), &self.silent)
+        choose_owner(now, server, own, is_alone, hosts.into_iter(), &self.silent_owners)
     }
 }
--- a/src/gateway/send_permit.rs
+++ b/src/gateway/send_permit.rs
@@ -45,7 +45,7 @@
     pub async fn renewed(self, context: &CallContext, server: &ServerEntry) -> Option<Self> {
         let mut permit = self;
         let now = permit.host.now();
-        let needs_grant = permit.host.state().sends.limit(now, permit.server).is_some();
+        let needs_grant = permit.host.state().send_control.limit(now, permit.server).is_some();
         let is_old = now.since(permit.counted_at) > PERMIT_LIFETIME;
         if needs_grant && (is_old || !permit.is_granted) {
             drop(permit);
@@ -53,8 +53,8 @@
         }
         {
             let mut state = permit.host.state();
-            state.sends.log.undo(permit.counted_at, permit.server);
-            state.sends.log.record(now, permit.server);
+            state.send_control.log.undo(permit.counted_at, permit.server);
+            state.send_control.log.record(now, permit.server);
         }
         permit.counted_at = now;
         Some(permit)
@@ -66,7 +66,7 @@
         if self.is_used {
             return;
         }
-        self.host.state().sends.log.undo(self.counted_at, self.server);
+        self.host.state().send_control.log.undo(self.counted_at, self.server);
         if self.is_granted {
             self.host.notify_owner(self.server, self.rank, PermitPurpose::Release);
         }
@@ -80,9 +80,9 @@
         let (host, key, now) = (&self.host, server.key(), self.host.now());
         let is_limited = {
             let mut state = host.state();
-            let is_limited = state.sends.limit(now, key).is_some();
+            let is_limited = state.send_control.limit(now, key).is_some();
             if !is_limited {
-                state.sends.log.record(now, key);
+                state.send_control.log.record(now, key);
             }
             is_limited
         };
@@ -104,9 +104,10 @@
         let state = self.host.state();
         let ready = state.fleet.ready(self.service);
         let staged = ready.filter(|server| stage.is_none_or(|stage| server.stage == Some(stage)));
-        let closed = staged.filter(|server| !state.sends.is_open(now, server.key(), self.rank));
+        let closed =
+            staged.filter(|server| !state.send_control.is_open(now, server.key(), self.rank));
         closed
-            .filter_map(|server| Some((server.key(), state.sends.limit(now, server.key())?)))
+            .filter_map(|server| Some((server.key(), state.send_control.limit(now, server.key())?)))
             .collect()
     }
 
--- a/src/gateway/server_ranking.rs
+++ b/src/gateway/server_ranking.rs
@@ -11,50 +11,54 @@
 
 /// What servers are ranked for.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct ServerWish {
+pub(super) struct ServerCriteria {
     /// The stage that they must have, of a service of model engines.
     pub stage: Option<ServerStage>,
     /// What makes one better than another.
     pub kind: RankingCriterion,
     /// The failure domain that they should be in.
-    pub near: NameKey,
+    pub local_domain: NameKey,
     /// Part of a full server that another failure domain counts.
-    pub abroad: f64,
+    pub remote_penalty: f64,
     /// How urgent the request is: servers whose limit leaves no room for it now are left out.
     pub rank: CallRank,
 }
 
 impl GatewayHost {
     /// Servers of a service from best to worst.
-    pub(super) fn ranked(&self, service: ServiceKey, wish: &ServerWish) -> Vec<ServerEntry> {
+    pub(super) fn rank_ready_servers(
+        &self,
+        service: ServiceKey,
+        criteria: &ServerCriteria,
+    ) -> Vec<ServerEntry> {
         let now = self.now();
-        let salt = self.serials.fetch_add(1, Ordering::Relaxed);
+        let salt = self.next_serial.fetch_add(1, Ordering::Relaxed);
         let warm = self.pool.warm_addresses();
         let mut state = self.state();
-        state.board.expire(now);
+        state.server_loads.expire(now);
         let view = RankingContext {
-            loads: &state.board,
-            health: &state.health,
-            domains: &state.domains,
-            stage_changes: &state.changes,
+            loads: &state.server_loads,
+            health: &state.server_health,
+            domains: &state.domain_breakers,
+            stage_changes: &state.stage_changes,
             connected: &warm,
-            local_domain: wish.near,
-            remote_penalty: wish.abroad,
+            local_domain: criteria.local_domain,
+            remote_penalty: criteria.remote_penalty,
             salt: salt ^ self.incarnation.0,
         };
         let candidates = state
             .fleet
             .ready(service)
-            .filter(|server| wish.stage.is_none_or(|stage| server.stage == Some(stage)))
-            .filter(|server| state.sends.is_open(now, server.key(), wish.rank));
-        rank_servers(now, &view, wish.kind, candidates).into_iter().cloned().collect()
+            .filter(|server| criteria.stage.is_none_or(|stage| server.stage == Some(stage)))
+            .filter(|server| state.send_control.is_open(now, server.key(), criteria.rank));
+        rank_servers(now, &view, criteria.kind, candidates).into_iter().cloned().collect()
     }
 
     /// How long a prompt waits at a prefill server until those before it are read; zero while the
     /// pace of reading is not known.
     pub(super) fn prompt_wait(&self, service: ServiceKey, server: &ServerEntry) -> Duration {
         let state = self.state();
-        let queue = state.board.total(server.key()).prompt_tokens;
-        state.work.get(&service).map(|meter| meter.read_time(queue)).unwrap_or_default()
+        let queue = state.server_loads.total(server.key()).prompt_tokens;
+        state.work_meters.get(&service).map(|meter| meter.read_time(queue)).unwrap_or_default()
     }
 }
--- a/src/gateway/server_lives.rs
+++ b/src/gateway/server_restarts.rs
@@ -13,12 +13,12 @@
     ///
     /// Whatever is kept under the key of a former life is found by nobody any more, and most of it passes
     /// by itself; what would stay is dropped here.
-    pub(super) fn note_lives(&self, revision: u64, changes: &[IncarnationChange]) {
+    pub(super) fn handle_incarnation_changes(&self, revision: u64, changes: &[IncarnationChange]) {
         let now = self.now();
         let mut state = self.state();
-        state.note_cold(now);
+        state.record_cold_servers(now);
         for change in changes.iter().filter(|change| !change.is_outdated()) {
-            state.health.remove(&change.known);
+            state.server_health.remove(&change.known);
         }
         drop(state);
         for change in changes {
@@ -29,7 +29,8 @@
 
 fn log_life(revision: u64, change: &IncarnationChange) {
     let id = &change.id;
-    let (known, told) = (birth(change.known_started_at), birth(change.received_started_at));
+    let (known, told) =
+        (start_time_text(change.known_started_at), start_time_text(change.received_started_at));
     match change.outcome {
         IncarnationOutcome::Restarted => log::info!(
             "event=server_restarted server={id} born={told} former={known} revision={revision} \
@@ -43,6 +44,6 @@
 }
 
 /// When a life began, as logs show it.
-pub(super) fn birth(born: Option<u64>) -> String {
+pub(super) fn start_time_text(born: Option<u64>) -> String {
     born.map_or_else(|| "unknown".to_owned(), |born| born.to_string())
 }
--- a/src/gateway/stage_loop.rs
+++ b/src/gateway/stage_loop.rs
@@ -27,12 +27,12 @@
 
 /// What the giver of orders keeps.
 #[derive(Debug, Default)]
-pub(super) struct StageDesk {
+pub(super) struct StageController {
     pub lease: OrderLease,
     pub planners: HashMap<ServiceKey, StagePlanner>,
     pub orders: ChangeOrders,
     /// It has taken note of what the last giver left under way.
-    in_office: bool,
+    is_leader: bool,
 }
 
 /// A change that should be ordered.
@@ -48,29 +48,31 @@
 pub(super) async fn run_stages(host: Arc<GatewayHost>) {
     let mut ticker = tokio::time::interval(LOOK_PERIOD);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut desk = StageDesk::default();
+    let mut desk = StageController::default();
     let mut looks = 0_u32;
     loop {
         ticker.tick().await;
-        if !host.gives_orders() {
+        if !host.is_order_leader() {
             // A takeover that waits goes on waiting if this host is elected again.
-            desk = StageDesk { lease: desk.lease, ..StageDesk::default() };
-            host.state().changes.retain_orders(|_| false);
+            desk = StageController { lease: desk.lease, ..StageController::default() };
+            host.state().stage_changes.retain_orders(|_| false);
             continue;
         }
         if !may_issue_orders(host.now().since(TimePoint::default())) {
             continue;
         }
-        if !desk.in_office {
-            host.take_office(&mut desk).await;
+        if !desk.is_leader {
+            host.acquire_leadership(&mut desk).await;
         }
         if desk.lease.is_waiting(host.now()) {
             continue;
         }
         let changes = host.plan_changes(&mut desk);
         looks += 1;
-        if looks.is_multiple_of(REPEAT_LOOKS) && host.state().changes.ordered().next().is_some() {
-            host.tell_everyone();
+        if looks.is_multiple_of(REPEAT_LOOKS)
+            && host.state().stage_changes.ordered().next().is_some()
+        {
+            host.broadcast_notices();
         }
         for batch in changes.chunks(ORDERS_AT_ONCE) {
             host.order_batch(&mut desk, batch).await;
@@ -80,30 +82,30 @@
 
 impl GatewayHost {
     /// Whether this host is the one that gives orders.
-    fn gives_orders(&self) -> bool {
-        self.stop_phase() == StopPhase::Serving && self.is_oldest()
+    fn is_order_leader(&self) -> bool {
+        self.stop_phase() == StopPhase::Serving && self.is_elected_leader()
     }
 
     /// Whether this host decides what one of them must decide for all: it is the oldest that can be reached and
     /// that the store answers.
-    pub(super) fn is_oldest(&self) -> bool {
+    pub(super) fn is_elected_leader(&self) -> bool {
         let now = self.now();
         let state = self.state();
         let reachable = state.members.reachable(now).map(|member| member.incarnation);
-        state.refused.elect(now, reachable) == Some(self.incarnation)
+        state.refused_hosts.elect(now, reachable) == Some(self.incarnation)
     }
 
     /// Begins to give orders: changes that the last giver ordered are under way and not planned again,
     /// and the wait for its lease begins now and not with the first plan.
-    async fn take_office(&self, desk: &mut StageDesk) {
+    async fn acquire_leadership(&self, desk: &mut StageController) {
         let now = self.now();
         {
             let state = self.state();
-            for (key, to) in state.changes.announced(now) {
+            for (key, to) in state.stage_changes.announced(now) {
                 desk.orders.record_ordered(now, key, to, CHANGE_TIME);
             }
         }
-        desk.in_office = true;
+        desk.is_leader = true;
         let outcome = match self.renew_lease(&mut desk.lease).await {
             Ok(()) => "written".to_owned(),
             // The first order tries again.
@@ -115,12 +117,12 @@
         );
     }
 
-    fn plan_changes(&self, desk: &mut StageDesk) -> Vec<PlannedChange> {
+    fn plan_changes(&self, desk: &mut StageController) -> Vec<PlannedChange> {
         let now = self.now();
         let mut state = self.state();
         let state = &mut *state;
         desk.orders.expire(now, |key| state.fleet.entry(key).map(|entry| entry.stage));
-        state.changes.retain_orders(|key| desk.orders.target_stage(key).is_some());
+        state.stage_changes.retain_orders(|key| desk.orders.target_stage(key).is_some());
         let mut changes = Vec::new();
         for (service, spec) in state.routes.services() {
             let Some(engine) = &spec.engine else { continue };
@@ -171,7 +173,7 @@
 }
 
 fn takes_work(state: &GatewayState, now: TimePoint, entry: &ServerEntry) -> bool {
-    state.health.get(&entry.key()).is_none_or(|health| health.admits(now))
+    state.server_health.get(&entry.key()).is_none_or(|health| health.admits(now))
 }
 
 /// The `count` servers of the other stage with the least work, best where their stage is most
@@ -182,7 +184,7 @@
     service: ServiceKey,
     to: ServerStage,
     count: usize,
-    desk: &StageDesk,
+    desk: &StageController,
 ) -> Vec<ServerEntry> {
     let mut candidates: Vec<&ServerEntry> = state
         .fleet
@@ -194,7 +196,7 @@
         *in_domain.entry(entry.domain).or_default() += 1;
     }
     let work = |entry: &ServerEntry| {
-        let load = state.board.total(entry.key());
+        let load = state.server_loads.total(entry.key());
         load.memory_tokens + load.prompt_tokens
     };
     let mut chosen = Vec::new();
--- a/src/gateway/stage_orders.rs
+++ b/src/gateway/stage_orders.rs
@@ -2,8 +2,8 @@
 
 use super::gateway_host::GatewayHost;
 use super::server_call::{CallPurpose, call_engine};
-use super::server_lives::birth;
-use super::stage_loop::{PlannedChange, StageDesk};
+use super::server_restarts::start_time_text;
+use super::stage_loop::{PlannedChange, StageController};
 use crate::fleet::ServerEntry;
 use crate::orders::{EngineState, OrderLease, OrderStep, order_step};
 use crate::platform::{
@@ -21,7 +21,7 @@
 impl GatewayHost {
     /// Orders changes side by side under one fence: engines are asked first, so that the store is
     /// called once a batch, and only if one of them can take its order.
-    pub(super) async fn order_batch(&self, desk: &mut StageDesk, batch: &[PlannedChange]) {
+    pub(super) async fn order_batch(&self, desk: &mut StageController, batch: &[PlannedChange]) {
         let reports = join_all(batch.iter().map(|change| self.ask_report(&change.server))).await;
         let mut able = Vec::new();
         for (change, report) in batch.iter().zip(reports) {
@@ -74,7 +74,7 @@
         for ((change, _), answer) in able.iter().zip(join_all(sent).await) {
             self.note_answer(desk, change, fence, answer);
         }
-        self.tell_everyone();
+        self.broadcast_notices();
     }
 
     async fn send_order(
@@ -92,7 +92,7 @@
 
     fn note_answer(
         &self,
-        desk: &mut StageDesk,
+        desk: &mut StageController,
         change: &PlannedChange,
         fence: u64,
         answer: Result<StatusCode>,
@@ -104,7 +104,7 @@
                     "event=stage_ordered server={server} to={to} fence={fence} answer={status}"
                 );
                 if status.is_success() {
-                    self.state().changes.record_order(change.server.key(), change.to);
+                    self.state().stage_changes.record_order(change.server.key(), change.to);
                 } else {
                     desk.orders.record_refused(change.server.key());
                 }
@@ -119,18 +119,23 @@
     }
 
     /// The engine changes already, by an order of the host that gave them before.
-    fn note_under_way(&self, desk: &mut StageDesk, change: &PlannedChange) {
+    fn note_under_way(&self, desk: &mut StageController, change: &PlannedChange) {
         let (now, key, to) = (self.now(), change.server.key(), change.to);
         log::info!("event=stage_under_way server={} to={}", change.server.id, to.name());
         desk.orders.record_ordered(now, key, to, change.engine.stage_change);
-        self.state().changes.record_order(key, to);
+        self.state().stage_changes.record_order(key, to);
     }
 
     /// The engine has started again: the plan was for its former life, which is left alone until the entry
     /// of the new one is known and planned with.
-    fn note_restarted(&self, desk: &mut StageDesk, change: &PlannedChange, reported: Option<u64>) {
+    fn note_restarted(
+        &self,
+        desk: &mut StageController,
+        change: &PlannedChange,
+        reported: Option<u64>,
+    ) {
         let (server, to) = (&change.server, change.to.name());
-        let (planned, reported) = (birth(server.started_at), birth(reported));
+        let (planned, reported) = (start_time_text(server.started_at), start_time_text(reported));
         log::info!(
             "event=stage_not_ordered server={} to={to} cause=server_restarted planned={planned} \
              reported={reported}",
@@ -140,7 +145,7 @@
     }
 
     /// The engine did not tell its state: it is left alone for a while.
-    fn note_unreached(&self, desk: &mut StageDesk, change: &PlannedChange, error: &Error) {
+    fn note_unreached(&self, desk: &mut StageController, change: &PlannedChange, error: &Error) {
         let (now, server, to) = (self.now(), &change.server, change.to.name());
         log::info!("event=stage_not_ordered server={} to={to} cause=\"{error}\"", server.id);
         desk.planners.entry(change.service).or_default().record_attempt(now);
--- a/src/gateway/stop_plan.rs
+++ b/src/gateway/stop_plan.rs
@@ -11,9 +11,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopPlan {
     /// How long requests are still read, while the platform sends callers elsewhere.
-    pub leaving: Duration,
+    pub drain_time: Duration,
     /// How long after the beginning the process ends, whatever still runs.
-    pub ends: Duration,
+    pub exit_after: Duration,
 }
 
 impl StopPlan {
@@ -22,7 +22,7 @@
     /// Requests are read no longer than the platform needs: each later one has less of the grace
     /// left (a hunted day cut a stream that was taken 3.2 s after SIGTERM).
     pub fn new(grace: Duration) -> Self {
-        let ends = grace.saturating_sub(END_MARGIN);
-        Self { leaving: (TWO_MISSES + MISS_MARGIN).min(ends / 2), ends }
+        let exit_after = grace.saturating_sub(END_MARGIN);
+        Self { drain_time: (TWO_MISSES + MISS_MARGIN).min(exit_after / 2), exit_after }
     }
 }
--- a/src/gateway/store_contact.rs
+++ b/src/gateway/store_contact.rs
@@ -24,25 +24,25 @@
 }
 
 /// The store refused this host or did not answer it: the others elect another watcher.
-pub(super) fn note_lost(host: &GatewayHost, kind: FollowedKind, error: &crate::Error) {
-    if !host.store_away(kind).swap(true, Ordering::Relaxed) {
+pub(super) fn record_store_failure(host: &GatewayHost, kind: FollowedKind, error: &crate::Error) {
+    if !host.is_unreachable(kind).swap(true, Ordering::Relaxed) {
         log::warn!("event=store_lost kind={} cause=\"{error}\"", kind.name());
     }
     host.note_refused(true);
 }
 
 /// The store answered this host.
-pub(super) fn note_heard(host: &GatewayHost, kind: FollowedKind) {
-    if host.store_away(kind).swap(false, Ordering::Relaxed) {
+pub(super) fn record_store_answer(host: &GatewayHost, kind: FollowedKind) {
+    if host.is_unreachable(kind).swap(false, Ordering::Relaxed) {
         log::info!("event=store_regained kind={}", kind.name());
     }
     let now = host.now();
     {
         let mut state = host.state();
         state.fleet.record_store_answer(now, Duration::ZERO);
-        state.answered_at = now;
+        state.store_answered_at = now;
     }
-    let away = FollowedKind::ALL.map(|kind| host.store_away(kind).load(Ordering::Relaxed));
+    let away = FollowedKind::ALL.map(|kind| host.is_unreachable(kind).load(Ordering::Relaxed));
     if away == [false, false] {
         host.note_refused(false);
     }
@@ -52,9 +52,9 @@
     /// Notes whether the store refuses this host, and tells the others at once if that is new.
     fn note_refused(&self, refused: bool) {
         let now = self.now();
-        let is_new = self.state().refused.record(now, self.incarnation, refused);
+        let is_new = self.state().refused_hosts.record(now, self.incarnation, refused);
         if is_new {
-            self.tell_everyone();
+            self.broadcast_notices();
         }
     }
 
@@ -68,10 +68,10 @@
         (revision > 0).then_some(revision)
     }
 
-    fn store_away(&self, kind: FollowedKind) -> &AtomicBool {
+    fn is_unreachable(&self, kind: FollowedKind) -> &AtomicBool {
         match kind {
-            FollowedKind::Routes => &self.routes_away,
-            FollowedKind::Servers => &self.servers_away,
+            FollowedKind::Routes => &self.routes_unreachable,
+            FollowedKind::Servers => &self.servers_unreachable,
         }
     }
 }
--- a/src/gateway/unreadable_objects.rs
+++ b/src/gateway/unreadable_objects.rs
@@ -16,7 +16,7 @@
 
 impl UnreadableObjects {
     /// Notes an object; true if it was not noted before.
-    pub fn note(&mut self, object: &UnreadableObject) -> bool {
+    pub fn insert(&mut self, object: &UnreadableObject) -> bool {
         if self.noted.contains(object) {
             return false;
         }
--- a/src/gateway/view_lag.rs
+++ b/src/gateway/view_lag.rs
@@ -14,7 +14,7 @@
 
 impl GatewayHost {
     /// Another host said how new its view is.
-    pub(super) fn hear_mark(&self, heard: ViewMark) {
+    pub(super) fn apply_view_mark(&self, heard: ViewMark) {
         let now = self.now();
         let mut state = self.state();
         for kind in FollowedKind::ALL {
@@ -24,7 +24,7 @@
     }
 
     /// Another host said when its view last lacked nothing.
-    pub(super) fn hear_ages(&self, heard: ViewMark, ages: ViewAges) {
+    pub(super) fn apply_view_ages(&self, heard: ViewMark, ages: ViewAges) {
         let now = self.now();
         let mut state = self.state();
         for (kind, age_ms) in
@@ -108,12 +108,12 @@
 
 /// Writes down when one kind of the view has been behind for long, and for how long it was.
 #[derive(Debug)]
-pub(super) struct LagReport {
+pub(super) struct LagLog {
     kind: FollowedKind,
     longest: Option<Duration>,
 }
 
-impl LagReport {
+impl LagLog {
     pub const fn new(kind: FollowedKind) -> Self {
         Self { kind, longest: None }
     }
--- a/src/gateway/view_loop.rs
+++ b/src/gateway/view_loop.rs
@@ -1,8 +1,8 @@
-use super::duty_log::DutyLog;
 use super::gateway_host::GatewayHost;
-use super::store_contact::{FollowedKind, note_heard, note_lost};
-use super::view_lag::LagReport;
-use super::view_store::{ask_now, list, list_or_hear, read_in_turn, watch};
+use super::role_log::RoleLog;
+use super::store_contact::{FollowedKind, record_store_answer, record_store_failure};
+use super::view_lag::LagLog;
+use super::view_store::{list, list_unless_received, poll_changes, read_periodically, watch};
 use crate::Error;
 use crate::fleet::{RoleInput, WatcherRole, scaled_interval, watcher_role};
 use crate::host::lock;
@@ -53,7 +53,7 @@
 
 /// How the store is asked next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum NextQuestion {
+enum NextQuery {
     /// What changes from now on?
     Wait,
     /// What has changed?
@@ -62,7 +62,7 @@
     Whole,
 }
 
-impl NextQuestion {
+impl NextQuery {
     /// The first question of a host whose view last lacked nothing so long ago.
     fn first(view_age: Duration) -> Self {
         if view_age > READ_AGE { Self::Now } else { Self::Wait }
@@ -80,7 +80,7 @@
 
 /// What a host's own questions about a kind came to.
 #[derive(Debug, Clone, Copy, Default)]
-struct OwnContact {
+struct OwnStoreContact {
     /// When the last one failed, if that was the last one.
     refused_at: Option<TimePoint>,
     /// When the last one was answered.
@@ -92,18 +92,18 @@
 /// Follows a kind while that is this host's duty.
 async fn follow(host: &Arc<GatewayHost>, kind: FollowedKind) {
     let mut pause = FIRST_PAUSE;
-    let mut question = NextQuestion::Wait;
+    let mut question = NextQuery::Wait;
     // Where the own watch goes on; nothing until it has begun.
     let mut watched = None;
-    let mut contact = OwnContact::default();
-    let mut report = DutyLog::new(kind);
+    let mut contact = OwnStoreContact::default();
+    let mut report = RoleLog::new(kind);
     loop {
         let view = host.duty_view(kind, contact);
         let duty = watcher_role(&view);
         report.note(duty, &view);
         if duty == WatcherRole::Follow {
             watched = None;
-            question = NextQuestion::Wait;
+            question = NextQuery::Wait;
             contact.doubts_since = None;
             tokio::time::sleep(DUTY_PERIOD).await;
             continue;
@@ -111,25 +111,25 @@
         if duty == WatcherRole::Poll {
             contact.doubts_since.get_or_insert(host.now());
         }
-        if watched.is_none() && question == NextQuestion::Wait {
-            question = NextQuestion::first(view.view_age);
+        if watched.is_none() && question == NextQuery::Wait {
+            question = NextQuery::first(view.view_age);
         }
         let from = watched.or_else(|| host.known_revision(kind));
         let step = match (from, question) {
-            (None, _) => list_or_hear(host, kind).await,
-            (Some(_), NextQuestion::Whole) => list(host, kind).await,
-            (Some(after), NextQuestion::Now) => ask_now(host, kind, after).await,
-            (Some(after), NextQuestion::Wait) if host.reads(kind) => {
-                read_in_turn(host, after).await
+            (None, _) => list_unless_received(host, kind).await,
+            (Some(_), NextQuery::Whole) => list(host, kind).await,
+            (Some(after), NextQuery::Now) => poll_changes(host, kind, after).await,
+            (Some(after), NextQuery::Wait) if host.reads(kind) => {
+                read_periodically(host, after).await
             }
-            (Some(after), NextQuestion::Wait) => watch(host, kind, after).await,
+            (Some(after), NextQuery::Wait) => watch(host, kind, after).await,
         };
         match step {
             // The store said nothing to this host.
             Ok(FollowStep::Heard) => continue,
             Ok(FollowStep::Told { next, until }) => {
                 watched = Some(next);
-                question = NextQuestion::Wait;
+                question = NextQuery::Wait;
                 host.note_view_complete(kind, until, next);
                 if from.is_some_and(|after| next > after) {
                     tokio::time::sleep(WATCH_REST).await;
@@ -137,20 +137,20 @@
             }
             // Whatever is known may lack changes.
             Ok(FollowStep::HistoryLost) => {
-                question = NextQuestion::Whole;
+                question = NextQuery::Whole;
                 continue;
             }
             // Only this connection may have fallen silent.
-            Err(Error::Timeout) if question == NextQuestion::Wait && from.is_some() => {
-                question = NextQuestion::Now;
+            Err(Error::Timeout) if question == NextQuery::Wait && from.is_some() => {
+                question = NextQuery::Now;
                 continue;
             }
             Err(error) => {
-                note_lost(host, kind, &error);
+                record_store_failure(host, kind, &error);
                 contact.refused_at = Some(host.now());
                 watched = None;
                 question = question.after_failure(&error);
-                host.pause_unless_heard(pause).await;
+                host.pause_until_store_answers(pause).await;
                 let longest =
                     if view.lacks_updates() { LONGEST_PAUSE } else { host.longest_pause(kind) };
                 pause = (pause * 2).min(longest);
@@ -160,21 +160,21 @@
         pause = FIRST_PAUSE;
         contact.refused_at = None;
         contact.answered_at = Some(host.now());
-        note_heard(host, kind);
+        record_store_answer(host, kind);
     }
 }
 
 impl GatewayHost {
     /// What decides whether this host asks the store for a kind itself, or hears it from others.
-    fn duty_view(&self, kind: FollowedKind, contact: OwnContact) -> RoleInput {
+    fn duty_view(&self, kind: FollowedKind, contact: OwnStoreContact) -> RoleInput {
         let known = self.known_revision(kind).is_some();
         let now = self.now();
         let state = self.state();
         let domain = self.domain();
         let watcher = state.watcher(now, domain);
-        let is_vacant = watcher.is_none_or(|host| state.refused.is_refused(now, host));
+        let is_vacant = watcher.is_none_or(|host| state.refused_hosts.is_refused(now, host));
         let heard_at = watcher.and_then(|host| state.members.record(host)?.received_at);
-        let stands_in = contact.doubts_since.is_some_and(|since| {
+        let is_substitute = contact.doubts_since.is_some_and(|since| {
             heard_at.is_none_or(|at| at < since) && state.has_newest_answer(kind)
         });
         RoleInput {
@@ -184,21 +184,19 @@
             elected: watcher == Some(self.incarnation),
             store_answered_for: contact
                 .answered_at
-                .filter(|_| is_vacant || stands_in)
+                .filter(|_| is_vacant || is_substitute)
                 .map(|at| now.since(at)),
             view_age: state.view_age(now, kind),
             behind_for: state.behind_for(now, kind),
             silent_for: state.silent_for(now),
             config_age: match kind {
-                FollowedKind::Routes => {
-                    state.longest_config_age().map(|_| state.config_age.age(now))
-                }
+                FollowedKind::Routes => state.max_config_age().map(|_| state.config_age.age(now)),
                 FollowedKind::Servers => None,
             },
             // An answer to any other question since tells more.
             store_refused_for: contact
                 .refused_at
-                .filter(|at| *at > state.answered_at)
+                .filter(|at| *at > state.store_answered_at)
                 .map(|at| now.since(at)),
             domain_hosts: state.members.owners(domain).count(),
             salt: self.incarnation.0,
@@ -206,7 +204,7 @@
     }
 
     /// Waits after a call that failed; a watcher no longer than until the store has answered somebody else.
-    async fn pause_unless_heard(&self, pause: Duration) {
+    async fn pause_until_store_answers(&self, pause: Duration) {
         let began = self.now();
         tokio::time::sleep(pause.min(HEARD_PAUSE)).await;
         while self.now().since(began) < pause {
@@ -236,7 +234,7 @@
 async fn expire_entries(host: &GatewayHost) {
     let mut ticker = tokio::time::interval(EXPIRE_PERIOD);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut reports = FollowedKind::ALL.map(LagReport::new);
+    let mut reports = FollowedKind::ALL.map(LagLog::new);
     loop {
         ticker.tick().await;
         let now = host.now();
--- a/src/gateway/view_servers.rs
+++ b/src/gateway/view_servers.rs
@@ -28,7 +28,7 @@
     };
     state.fleet.apply(now, revision, unusable);
     drop(state);
-    host.note_lives(revision, &lives);
+    host.handle_incarnation_changes(revision, &lives);
 }
 
 fn note_all(host: &GatewayHost, unreadable: &[UnreadableObject]) -> Vec<FleetChange> {
@@ -52,7 +52,7 @@
     }
     let now = host.now();
     let lives = host.state().fleet.apply(now, revision, applied);
-    host.note_lives(revision, &lives);
+    host.handle_incarnation_changes(revision, &lives);
 }
 
 fn log_change(change: &FleetChange, event: &StoreEvent, revision: u64) {
@@ -80,7 +80,7 @@
 /// Logs an entry that names no server to use, once for each change, and takes a server that was known
 /// under its name out of use.
 fn note_unreadable(host: &GatewayHost, object: &UnreadableObject) -> Option<FleetChange> {
-    if host.state().unreadable.note(object) {
+    if host.state().unreadable_objects.insert(object) {
         let (name, revision) = (logged_name(object), object.revision);
         let cause = logged(&object.cause);
         log::warn!("event=server_unreadable server={name} revision={revision} cause=\"{cause}\"");
--- a/src/gateway/view_spread.rs
+++ b/src/gateway/view_spread.rs
@@ -31,7 +31,7 @@
 
 impl GatewayHost {
     /// Tells a few hosts at once that this one has a newer view, from the store or from a peer.
-    pub(super) fn push_view(self: &Arc<Self>, source: ViewSource) {
+    pub(super) fn announce_view(self: &Arc<Self>, source: ViewSource) {
         let abroad = match source {
             ViewSource::Store => VIEW_ABROAD,
             ViewSource::Peer => 0,
@@ -42,7 +42,7 @@
             state.members.set_view(mark);
             state.members.push_updates(VIEW_NEAR, abroad)
         };
-        self.carry_out(orders);
+        self.execute_orders(orders);
     }
 
     /// Fetches a newer view from another host, unless news are coming from one already.
@@ -63,7 +63,7 @@
         let host = Arc::clone(self);
         tokio::spawn(async move {
             for salt in 0..FIRST_TRIES {
-                let near = host.state().near_member(mix_hash(host.incarnation.0, salt));
+                let near = host.state().other_domain_member(mix_hash(host.incarnation.0, salt));
                 let address = near.map_or(seed, |member| member.address);
                 if lock(&host.view_fetches).begin(host.now(), address) {
                     host.fetch_view_from(address).await;
@@ -77,7 +77,7 @@
     }
 
     /// Puts a configuration in force that another host told; `known` was in force as it was asked.
-    fn hear_routes(&self, address: SocketAddr, known: &RouteTable, news: RouteUpdate) {
+    fn apply_route_update(&self, address: SocketAddr, known: &RouteTable, news: RouteUpdate) {
         let (revision, told) = (news.revision, news.route_count());
         match news.apply_to(known) {
             Ok(table) => {
@@ -108,10 +108,10 @@
         match self.peers.fetch(address, &request, patience, on_piece).await {
             Ok(GatewayReply::View { routes: news, fleet, age }) => {
                 if let Some(news) = news {
-                    self.hear_routes(address, &routes, news);
+                    self.apply_route_update(address, &routes, news);
                 }
                 if let Some(age) = age {
-                    self.hear_age(address, age);
+                    self.apply_age_reply(address, age);
                 }
                 if let Some(news) = fleet {
                     let now = self.now();
@@ -122,9 +122,9 @@
                         "event=servers_heard peer={address} revision={revision} partial={partial} \
                          changed={changed} removed={removed}"
                     );
-                    self.note_lives(revision, &lives);
+                    self.handle_incarnation_changes(revision, &lives);
                 }
-                self.push_view(ViewSource::Peer);
+                self.announce_view(ViewSource::Peer);
             }
             Ok(GatewayReply::Members { .. }) => {
                 log::warn!("event=peer_answer_unexpected peer={address}");
--- a/src/gateway/view_store.rs
+++ b/src/gateway/view_store.rs
@@ -1,7 +1,7 @@
 //! Reads the view from the store: lists and watches of the configuration and the servers.
 
 use super::gateway_host::{GatewayHost, ViewSource};
-use super::store_contact::{FollowedKind, note_heard};
+use super::store_contact::{FollowedKind, record_store_answer};
 use super::view_loop::FollowStep;
 use super::view_servers::{apply_changes, logged, logged_name, replace_servers};
 use crate::Result;
@@ -28,17 +28,17 @@
 
 /// Lists a kind for the first time, or stops as soon as a neighbour has handed it over: of hundreds of
 /// hosts that start together the first ones that finish spare the others their pages.
-pub(super) async fn list_or_hear(
+pub(super) async fn list_unless_received(
     host: &Arc<GatewayHost>,
     kind: FollowedKind,
 ) -> Result<FollowStep> {
     tokio::select! {
         listed = list(host, kind) => listed,
-        () = heard_view(host, kind) => Ok(FollowStep::Heard),
+        () = wait_for_peer_view(host, kind) => Ok(FollowStep::Heard),
     }
 }
 
-async fn heard_view(host: &GatewayHost, kind: FollowedKind) {
+async fn wait_for_peer_view(host: &GatewayHost, kind: FollowedKind) {
     while host.known_revision(kind).is_none() {
         tokio::time::sleep(HEARD_LOOK).await;
     }
@@ -56,7 +56,7 @@
         return Ok(FollowStep::Told { next, until: asked_at });
     }
     let listed = host.store.list(kind.name(), ListAge::Newest, LIST_LIMIT).await?;
-    note_heard(host, kind);
+    record_store_answer(host, kind);
     match kind {
         FollowedKind::Routes => {
             for object in &listed.items {
@@ -71,7 +71,7 @@
         }
         FollowedKind::Servers => {
             replace_servers(host, &listed);
-            host.push_view(ViewSource::Store);
+            host.announce_view(ViewSource::Store);
         }
     }
     Ok(FollowStep::Told { next: listed.revision, until: asked_at })
@@ -87,11 +87,11 @@
     let WatchAnswer::Changes(changes, revision) = since else {
         return Ok(None);
     };
-    note_heard(host, FollowedKind::Servers);
+    record_store_answer(host, FollowedKind::Servers);
     replace_servers(host, &listed);
     apply_changes(host, revision, &changes);
     // Hosts of the other domains that start with this one list by themselves.
-    host.push_view(ViewSource::Peer);
+    host.announce_view(ViewSource::Peer);
     Ok(Some(revision))
 }
 
@@ -111,13 +111,13 @@
         let state = self.state();
         let parts = state.routes.parts();
         let entries = parts.routes.len() + parts.organisations.len();
-        let keyed = state.longest_config_age().is_some();
+        let keyed = state.max_config_age().is_some();
         kind == FollowedKind::Routes && keyed && entries <= MOST_READ_ENTRIES
     }
 }
 
 /// Reads the configuration, and returns when the next read is due.
-pub(super) async fn read_in_turn(host: &Arc<GatewayHost>, after: u64) -> Result<FollowStep> {
+pub(super) async fn read_periodically(host: &Arc<GatewayHost>, after: u64) -> Result<FollowStep> {
     let asked_at = host.now();
     let step = read_config(host, after).await?;
     host.note_view_complete(FollowedKind::Routes, asked_at, after);
@@ -130,7 +130,7 @@
     let asked_at = host.now();
     let (kind, name) = ROUTES_OBJECT;
     let object = host.store.read(kind, name, READ_LIMIT).await?;
-    note_heard(host, FollowedKind::Routes);
+    record_store_answer(host, FollowedKind::Routes);
     if let Some(object) = &object {
         adopt_object(host, object);
     }
@@ -141,7 +141,7 @@
 
 /// Asks for what is new after a revision, without waiting for a change: after a call that nobody answered, what may
 /// have been missed is wanted at once.
-pub(super) async fn ask_now(
+pub(super) async fn poll_changes(
     host: &Arc<GatewayHost>,
     kind: FollowedKind,
     after: u64,
@@ -175,7 +175,7 @@
     let plan = WatchPlan { wait, slack: WATCH_SLACK, longest };
     let asked_at = host.now();
     let answer = host.store.watch(kind.name(), after, plan).await?;
-    note_heard(host, kind);
+    record_store_answer(host, kind);
     let (changes, revision) = match answer {
         WatchAnswer::Changes(changes, revision) => (changes, revision),
         // Only those of the configuration are bounded.
@@ -206,7 +206,7 @@
         FollowedKind::Servers => {
             apply_changes(host, revision, &changes);
             if !changes.is_empty() {
-                host.push_view(ViewSource::Store);
+                host.announce_view(ViewSource::Store);
             }
         }
     }
@@ -220,7 +220,7 @@
 
 /// Logs an object beside the configuration that cannot be read, once for each change.
 fn note_unreadable(host: &GatewayHost, object: &UnreadableObject) {
-    if host.state().unreadable.note(object) {
+    if host.state().unreadable_objects.insert(object) {
         let (name, revision) = (logged_name(object), object.revision);
         let cause = logged(&object.cause);
         log::warn!("event=config_unreadable name={name} revision={revision} cause=\"{cause}\"");
@@ -237,7 +237,7 @@
     match parts.and_then(RouteTable::try_from) {
         Ok(table) => {
             if host.adopt_routes(object.revision, table, ViewSource::Store) {
-                host.push_view(ViewSource::Store);
+                host.announce_view(ViewSource::Store);
             }
         }
         Err(error) => {
--- a/tests/gateway_engines.rs
+++ b/tests/gateway_engines.rs
@@ -54,9 +54,9 @@
             // The other engines are loaded, so that an error or two do not change the ranking.
             let mut state = site.hosts[0].host.state();
             let queue = ServerLoad { prompt_tokens: 24_000, ..ServerLoad::default() };
-            state.board.add(ServerKey::of("i-prefill-1"), queue);
+            state.server_loads.add(ServerKey::of("i-prefill-1"), queue);
             let memory = ServerLoad { memory_tokens: 200_000, ..ServerLoad::default() };
-            state.board.add(ServerKey::of("i-decode-1"), memory);
+            state.server_loads.add(ServerKey::of("i-decode-1"), memory);
         }
         for number in 0..12 {
             call_first_host(&site, &call("POST", "stream", &format!("n{number}"))).await;
@@ -119,9 +119,9 @@
             let mut state = site.hosts[0].host.state();
             let queue = ServerLoad { prompt_tokens: 100_000, ..ServerLoad::default() };
             for place in 0..site.prefills.len() {
-                state.board.add(ServerKey::of(&format!("i-prefill-{place}")), queue);
+                state.server_loads.add(ServerKey::of(&format!("i-prefill-{place}")), queue);
             }
-            let meter = state.work.entry(NameKey::of("engines")).or_default();
+            let meter = state.work_meters.entry(NameKey::of("engines")).or_default();
             for read in 0..100_u32 {
                 let tokens = 1000 + read * 20;
                 let took = Duration::from_micros(u64::from(tokens) * 30);
--- a/tests/gateway_stop.rs
+++ b/tests/gateway_stop.rs
@@ -26,16 +26,16 @@
 #[test]
 fn stop_plan_reads_no_longer_than_the_platform_sends() {
     let plan = StopPlan::new(GRACE);
-    assert!(plan.leaving >= Duration::from_secs(2), "two missed questions");
-    assert!(plan.leaving < Duration::from_secs(3), "what is read later may be cut");
-    assert!(plan.ends < GRACE && plan.ends > GRACE * 5 / 6);
+    assert!(plan.drain_time >= Duration::from_secs(2), "two missed questions");
+    assert!(plan.drain_time < Duration::from_secs(3), "what is read later may be cut");
+    assert!(plan.exit_after < GRACE && plan.exit_after > GRACE * 5 / 6);
 }
 
 #[test]
 fn stop_plan_fits_a_short_grace() {
     let plan = StopPlan::new(Duration::from_secs(2));
-    assert!(plan.leaving < plan.ends && plan.ends < Duration::from_secs(2));
-    assert_eq!(StopPlan::new(Duration::ZERO).ends, Duration::ZERO);
+    assert!(plan.drain_time < plan.exit_after && plan.exit_after < Duration::from_secs(2));
+    assert_eq!(StopPlan::new(Duration::ZERO).exit_after, Duration::ZERO);
 }
 
 #[test]
@@ -46,7 +46,7 @@
         let site = TestSite::start(SitePlan::default()).await.expect("it starts");
         let host = Arc::clone(&site.hosts[0].host);
         let mut open = SiteConnection::open(site.hosts[0].callers).await.expect("it accepts");
-        let stopping = tokio::spawn(async move { host.stop_gently().await });
+        let stopping = tokio::spawn(async move { host.stop_gracefully().await });
         while site.hosts[0].host.stop_phase() == StopPhase::Serving {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -95,7 +95,7 @@
         }
         site.wait_ready().await;
     });
-    let closes_after = StopPlan::new(GRACE).leaving;
+    let closes_after = StopPlan::new(GRACE).drain_time;
     let mut callers = Vec::new();
     for (place, gateway) in site.hosts.iter().enumerate() {
         let address = gateway.callers;
@@ -110,7 +110,7 @@
             tokio::time::sleep(closes_after.saturating_sub(BUSY_TIME / 2)).await;
             std::thread::sleep(BUSY_TIME);
         });
-        let stops = site.hosts.iter().map(|gateway| gateway.host.stop_gently());
+        let stops = site.hosts.iter().map(|gateway| gateway.host.stop_gracefully());
         futures_util::future::join_all(stops).await
     });
     assert_eq!(cut, [0; STOPPED_HOSTS], "requests cut off");
--- a/tests/limited_calls.rs
+++ b/tests/limited_calls.rs
@@ -32,7 +32,7 @@
 /// Sends requests until the first host knows a limit.
 async fn until_limited(site: &TestSite, route: &str) {
     let mut serial = 0;
-    while site.hosts[0].host.state().sends.limits.limited().next().is_none() {
+    while site.hosts[0].host.state().send_control.limits.limited().next().is_none() {
         serial += 1;
         drop(call_first_host(site, &call("POST", route, &format!("first-{serial}"))).await);
     }
@@ -123,7 +123,7 @@
         let values = vec![value.to_owned()];
         site.services[0].arrivals.set(LimitSpeech { values, ..LimitSpeech::default() });
         assert_eq!(call_many(&site, "once", "r", 20).await, vec![200; 20]);
-        assert_eq!(site.hosts[0].host.state().sends.limits.limited().count(), 0);
+        assert_eq!(site.hosts[0].host.state().send_control.limits.limited().count(), 0);
     });
 }
 
@@ -136,13 +136,13 @@
         service.set_fault(ServiceFault::ForeignAnswer);
         service.arrivals.set(LimitSpeech::of(LOW_LIMIT));
         assert_eq!(call_many(&site, "safe", "f", 3).await, vec![502; 3]);
-        assert_eq!(site.hosts[0].host.state().sends.limits.limited().count(), 0);
+        assert_eq!(site.hosts[0].host.state().send_control.limits.limited().count(), 0);
         service.set_fault(ServiceFault::None);
         until_limited(&site, "once").await;
         service.set_fault(ServiceFault::ForeignAnswer);
         service.arrivals.set(LimitSpeech::default());
         call_many(&site, "safe", "g", 3).await;
-        assert_eq!(site.hosts[0].host.state().sends.limits.limited().count(), 1);
+        assert_eq!(site.hosts[0].host.state().send_control.limits.limited().count(), 1);
     });
 }
 
@@ -169,7 +169,7 @@
         until_limited(&site, "once").await;
         service.arrivals.set(LimitSpeech::default());
         let mut serial = 0;
-        while site.hosts[0].host.state().sends.limits.limited().next().is_some() {
+        while site.hosts[0].host.state().send_control.limits.limited().next().is_some() {
             serial += 1;
             drop(call_first_host(&site, &call("POST", "once", &format!("b-{serial}"))).await);
             tokio::time::sleep(POLL_PERIOD).await;
@@ -203,7 +203,7 @@
         until_limited(&site, "once").await;
         site.add_host().await.expect("a host");
         site.wait_ready().await;
-        while site.hosts[1].host.state().sends.limits.limited().next().is_none() {
+        while site.hosts[1].host.state().send_control.limits.limited().next().is_none() {
             tokio::time::sleep(POLL_PERIOD).await;
         }
         let before = site.services[0].arrivals.count();
--- a/tests/many_changes.rs
+++ b/tests/many_changes.rs
@@ -30,14 +30,14 @@
 fn record_orders(site: &TestSite) {
     let mut state = site.hosts[0].host.state();
     for place in 0..CHANGES {
-        state.changes.record_order(server(place), ServerStage::Decode);
+        state.stage_changes.record_order(server(place), ServerStage::Decode);
     }
 }
 
 /// Describes what a test waited for when it timed out.
 fn waiting(site: &TestSite, known: usize) -> String {
     let hosts = &site.hosts;
-    let ordered = hosts[0].host.state().changes.ordered().count();
+    let ordered = hosts[0].host.state().stage_changes.ordered().count();
     let met: Vec<usize> =
         hosts.iter().map(|host| host.host.state().members.records().count()).collect();
     format!("{known} known of {ordered} ordered; hosts met by each: {met:?}")
@@ -54,10 +54,10 @@
             polls += 1;
             assert!(polls < MAX_POLLS, "{}", waiting(&site, known));
             record_orders(&site);
-            site.hosts[0].host.tell_everyone();
+            site.hosts[0].host.broadcast_notices();
             tokio::time::sleep(POLL_INTERVAL).await;
             let host = &site.hosts[1].host;
-            known = host.state().changes.announced(host.now()).count();
+            known = host.state().stage_changes.announced(host.now()).count();
         }
     });
 }
@@ -73,9 +73,9 @@
             polls += 1;
             assert!(polls < MAX_POLLS, "{}", waiting(&site, known as usize));
             record_orders(&site);
-            site.hosts[0].host.state().board.add(server(CHANGES), load);
+            site.hosts[0].host.state().server_loads.add(server(CHANGES), load);
             tokio::time::sleep(POLL_INTERVAL).await;
-            known = site.hosts[1].host.state().board.total(server(CHANGES)).requests;
+            known = site.hosts[1].host.state().server_loads.total(server(CHANGES)).requests;
         }
     });
 }
--- a/tests/server_incarnations.rs
+++ b/tests/server_incarnations.rs
@@ -60,7 +60,7 @@
         let key = key_of(&site, "i-service-0");
         for _ in 0..8 {
             let now = host.now();
-            host.state().health.entry(key).or_default().record_unresponsive(now);
+            host.state().server_health.entry(key).or_default().record_unresponsive(now);
         }
         restart(&site, "i-service-0", place).await;
         let reply = call_first_host(&site, &call("GET", "safe", "r1")).await;
@@ -77,7 +77,7 @@
         let keys = [key_of(&site, "i-decode-0"), key_of(&site, "i-decode-1")];
         for (key, memory_tokens) in keys.into_iter().zip([MUCH_MEMORY, SOME_MEMORY]) {
             let load = ServerLoad { memory_tokens, ..ServerLoad::default() };
-            site.hosts[0].host.state().board.add(key, load);
+            site.hosts[0].host.state().server_loads.add(key, load);
         }
         restart(&site, "i-decode-0", RestartPlace::Same).await;
         let reply = call_first_host(&site, &call("POST", "stream", "r1")).await;
@@ -99,9 +99,9 @@
         {
             let now = host.now();
             let mut state = host.state();
-            state.changes.record_suspicion(now, keys[0]);
-            state.changes.record_announcement(now, keys[0], ServerStage::Decode);
-            state.changes.record_announcement(now, keys[1], ServerStage::Prefill);
+            state.stage_changes.record_suspicion(now, keys[0]);
+            state.stage_changes.record_announcement(now, keys[0], ServerStage::Decode);
+            state.stage_changes.record_announcement(now, keys[1], ServerStage::Prefill);
         }
         restart(&site, "i-prefill-0", RestartPlace::Same).await;
         restart(&site, "i-decode-0", RestartPlace::Same).await;
@@ -239,7 +239,7 @@
     let host = &site.hosts[0].host;
     let now = host.now();
     let mut state = host.state();
-    let meter = state.work.entry(NameKey::of("engines")).or_default();
+    let meter = state.work_meters.entry(NameKey::of("engines")).or_default();
     meter.record_pace(100, Duration::from_secs(1));
     for _ in 0..500 {
         meter.record_read(now, 1000, Duration::from_millis(10));
--- a/tests/unreadable_objects.rs
+++ b/tests/unreadable_objects.rs
@@ -10,18 +10,18 @@
 #[test]
 fn object_is_new_once_for_each_change() {
     let mut objects = UnreadableObjects::default();
-    assert!(objects.note(&object(Some("a"), 7, "no state")));
-    assert!(!objects.note(&object(Some("a"), 7, "no state")), "a listing names it again");
-    assert!(objects.note(&object(Some("a"), 8, "no state")), "it changed");
-    assert!(objects.note(&object(Some("b"), 7, "no state")));
+    assert!(objects.insert(&object(Some("a"), 7, "no state")));
+    assert!(!objects.insert(&object(Some("a"), 7, "no state")), "a listing names it again");
+    assert!(objects.insert(&object(Some("a"), 8, "no state")), "it changed");
+    assert!(objects.insert(&object(Some("b"), 7, "no state")));
 }
 
 #[test]
 fn nameless_objects_are_told_apart_by_what_is_wrong() {
     let mut objects = UnreadableObjects::default();
-    assert!(objects.note(&object(None, 0, "no object")));
-    assert!(!objects.note(&object(None, 0, "no object")));
-    assert!(objects.note(&object(None, 0, "no text")));
+    assert!(objects.insert(&object(None, 0, "no object")));
+    assert!(!objects.insert(&object(None, 0, "no object")));
+    assert!(objects.insert(&object(None, 0, "no text")));
 }
 
 /// Another writer may make any number of them.
@@ -29,8 +29,8 @@
 fn memory_is_bounded() {
     let mut objects = UnreadableObjects::default();
     for revision in 0..100_000 {
-        assert!(objects.note(&object(Some("a"), revision, "no state")));
-        assert!(!objects.note(&object(Some("a"), revision, "no state")));
+        assert!(objects.insert(&object(Some("a"), revision, "no state")));
+        assert!(!objects.insert(&object(Some("a"), revision, "no state")));
     }
-    assert!(objects.note(&object(Some("a"), 0, "no state")), "the oldest is still remembered");
+    assert!(objects.insert(&object(Some("a"), 0, "no state")), "the oldest is still remembered");
 }
