--- a/src/quarantine/clearance_table.rs
+++ b/src/quarantine/clearance_table.rs
@@ -1,64 +1,70 @@
 use super::ClearanceUpdate;
-use super::crash_record::{TELLS, whole_millis};
+use super::crash_record::{UPDATE_SENDS, whole_millis};
 use crate::keys::{RequestKey, TimePoint};
 use std::collections::BTreeMap;
 
-/// ClearanceTable kept: 48 KB with their table (reckoned).
-const MOST_ACQUITTALS: usize = 1024;
+/// Maximum number of clearances kept: an estimated 48 KB with their table.
+const MAX_CLEARANCES: usize = 1024;
 
 #[derive(Debug, Clone, Copy)]
 struct ClearanceEntry {
-    at: TimePoint,
+    cleared_at: TimePoint,
     sends_left: u8,
 }
 
-/// Requests that had been at a crash and were answered whole.
+/// Requests that were in flight at a crash and were also answered in full, which clears them of suspicion.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ClearanceTable {
-    held: BTreeMap<RequestKey, ClearanceEntry>,
+    entries: BTreeMap<RequestKey, ClearanceEntry>,
 }
 
 impl ClearanceTable {
-    /// When a request was last acquitted.
-    pub fn at(&self, request: RequestKey) -> Option<TimePoint> {
-        self.held.get(&request).map(|held| held.at)
+    /// When a request was last cleared.
+    pub fn cleared_at(&self, request: RequestKey) -> Option<TimePoint> {
+        self.entries.get(&request).map(|entry| entry.cleared_at)
     }
 
-    /// Takes over an acquittal; false if a later one is known.
+    /// Records a clearance. Returns false if one at least as recent is known.
     pub fn record(&mut self, at: TimePoint, request: RequestKey) -> bool {
-        let known = self.held.get(&request);
-        if known.is_some_and(|known| known.at >= at) {
+        let known = self.entries.get(&request);
+        if known.is_some_and(|known| known.cleared_at >= at) {
             return false;
         }
-        if known.is_none() && self.held.len() >= MOST_ACQUITTALS {
-            let oldest = self.held.iter().min_by_key(|(_, held)| held.at).map(|(key, _)| *key);
-            oldest.and_then(|oldest| self.held.remove(&oldest));
+        if known.is_none() && self.entries.len() >= MAX_CLEARANCES {
+            let oldest =
+                self.entries.iter().min_by_key(|(_, entry)| entry.cleared_at).map(|(key, _)| *key);
+            oldest.and_then(|oldest| self.entries.remove(&oldest));
         }
-        self.held.insert(request, ClearanceEntry { at, sends_left: TELLS });
+        self.entries.insert(request, ClearanceEntry { cleared_at: at, sends_left: UPDATE_SENDS });
         true
     }
 
-    /// All of them.
+    /// All clearances.
     pub fn all(&self, now: TimePoint) -> Vec<ClearanceUpdate> {
-        self.held.iter().map(|(request, held)| news(now, *request, held)).collect()
+        self.entries.iter().map(|(request, entry)| clearance_update(now, *request, entry)).collect()
     }
 
-    /// At most `most` of those that are yet to be told.
-    pub fn unsent(&mut self, now: TimePoint, most: usize) -> Vec<ClearanceUpdate> {
-        let due = self.held.iter_mut().filter(|(_, held)| held.sends_left > 0);
-        due.take(most)
-            .map(|(request, held)| {
-                held.sends_left -= 1;
-                news(now, *request, held)
+    /// At most `max_count` of the clearances that are still to be sent to other hosts.
+    pub fn unsent(&mut self, now: TimePoint, max_count: usize) -> Vec<ClearanceUpdate> {
+        let due = self.entries.iter_mut().filter(|(_, entry)| entry.sends_left > 0);
+        due.take(max_count)
+            .map(|(request, entry)| {
+                entry.sends_left -= 1;
+                clearance_update(now, *request, entry)
             })
             .collect()
     }
 
+    /// Removes the clearances whose time does not satisfy `keep`.
     pub fn retain(&mut self, keep: impl Fn(TimePoint) -> bool) {
-        self.held.retain(|_, held| keep(held.at));
+        self.entries.retain(|_, entry| keep(entry.cleared_at));
     }
 }
 
-fn news(now: TimePoint, request: RequestKey, held: &ClearanceEntry) -> ClearanceUpdate {
-    ClearanceUpdate { request, age_ms: whole_millis(now.since(held.at)) }
+fn clearance_update(
+    now: TimePoint,
+    request: RequestKey,
+    entry: &ClearanceEntry,
+) -> ClearanceUpdate {
+    ClearanceUpdate { request, age_ms: whole_millis(now.since(entry.cleared_at)) }
 }
--- a/src/quarantine/crash_exchange.rs
+++ b/src/quarantine/crash_exchange.rs
@@ -1,86 +1,91 @@
-//! What books of crashes hand over to each other, and to the store.
+//! How crash trackers exchange crashes with each other and with the store.
 
-use super::crash_record::{AddedRun, InterruptedRun};
+use super::crash_record::{InterruptedRun, RunChange};
 use super::crash_tracker::{CRASH_RETENTION, CrashTracker, RETURN_PERIOD};
 use super::{CrashReport, CrashUpdate, InterruptedRequest};
 use crate::keys::{ServerKey, TimePoint};
 use std::cmp::Reverse;
 use std::time::Duration;
 
-/// Requests in one message between hosts: at up to 14 bytes each within one datagram.
-const KEYS_PER_MESSAGE: usize = 96;
-/// Crashes handed over at once, to a host that compares notes or to the store: the newest ones.
-const MOST_HANDED_OVER: usize = 256;
-/// A crash this young is told again now and then, for hosts that were cut off when it was told first.
-const REPEAT_LIFE: Duration = Duration::from_secs(20);
-/// Pause between these repeats.
-const REPEAT_PERIOD: Duration = Duration::from_secs(1);
+/// Maximum number of keys in one message between hosts: at up to 14 bytes each, they fit into one datagram.
+const MAX_MESSAGE_KEYS: usize = 96;
+/// Maximum number of crashes in a full report, which goes to the store or to a host that synchronizes its state. The
+/// most recent crashes are included.
+const MAX_REPORTED: usize = 256;
+/// A crash younger than this is sent again at intervals, for hosts that were cut off when it was first sent.
+const RESEND_WINDOW: Duration = Duration::from_secs(20);
+/// Interval at which such crashes are sent again.
+const RESEND_PERIOD: Duration = Duration::from_secs(1);
 
 impl CrashTracker {
-    /// Takes over what another host told; what is new is told on.
+    /// Merges the report of another host. Anything new in it is scheduled for sending to further hosts.
     pub fn merge(&mut self, now: TimePoint, report: &CrashReport) {
-        for news in &report.clearances {
-            let at = now - Duration::from_millis(news.age_ms.into());
+        for update in &report.clearances {
+            let at = now - Duration::from_millis(update.age_ms.into());
             if now.since(at) < CRASH_RETENTION {
-                self.clear(at, news.request);
+                self.clear(at, update.request);
             }
         }
-        for news in &report.crashes {
-            if self.merge_crash(now, news) {
-                self.schedule_sends(news.server);
+        for update in &report.crashes {
+            if self.merge_crash(now, update) {
+                self.schedule_sends(update.server);
             }
         }
         self.trim();
     }
 
-    /// Takes over the store's copy; true if it lacks something that this book has.
+    /// Merges the copy in the store. Returns true if the copy lacks something that this tracker has.
     pub fn merge_saved(&mut self, now: TimePoint, saved: &[CrashUpdate]) -> bool {
-        for news in saved {
-            if self.merge_crash(now, news) {
-                self.schedule_sends(news.server);
+        for update in saved {
+            if self.merge_crash(now, update) {
+                self.schedule_sends(update.server);
             }
-            if let Some(record) = self.crashes.get_mut(&news.server) {
-                record.is_saved = record.is_in(news);
+            if let Some(record) = self.crashes.get_mut(&update.server) {
+                record.is_saved = record.is_in(update);
             }
         }
         self.trim();
         self.is_unsaved()
     }
 
-    /// Whether the store's copy lacks something.
+    /// Whether the copy in the store lacks something.
     pub fn is_unsaved(&self) -> bool {
         self.crashes.values().any(|record| !record.is_saved)
     }
 
-    /// All that is handed over at once.
+    /// A full report: the most recent crashes and all clearances.
     pub fn full_report(&self, now: TimePoint) -> CrashReport {
         let mut newest: Vec<_> =
             self.crashes.iter().filter(|(_, record)| !record.requests.is_empty()).collect();
         newest.sort_by_key(|(server, record)| (Reverse(record.idle_since), **server));
-        newest.truncate(MOST_HANDED_OVER);
+        newest.truncate(MAX_REPORTED);
         CrashReport {
             crashes: newest.into_iter().map(|(key, record)| record.update(now, *key)).collect(),
             clearances: self.clearances.all(now),
         }
     }
 
-    /// The store has a copy of `written`; what did not fit into it stays out.
+    /// Records that the store holds a copy of `written`. Crashes that did not fit into the copy count as saved.
     pub fn record_saved(&mut self, written: &[CrashUpdate]) {
-        let fits_all = written.len() < MOST_HANDED_OVER;
+        let is_complete = written.len() < MAX_REPORTED;
         for (server, record) in &mut self.crashes {
-            let copy = written.iter().find(|news| news.server == *server);
-            let is_out = !fits_all || record.requests.is_empty();
-            record.is_saved = copy.map_or(is_out, |copy| record.is_in(copy));
+            let copy = written.iter().find(|update| update.server == *server);
+            let is_left_out = !is_complete || record.requests.is_empty();
+            record.is_saved = copy.map_or(is_left_out, |copy| record.is_in(copy));
         }
     }
 
-    /// What is to be told next; bounded, whatever there is.
+    /// The next report to send to other hosts. Its size is bounded.
     pub fn unsent(&mut self, now: TimePoint) -> CrashReport {
         self.record_received(now);
         self.schedule_resends(now);
-        let mut keys_left = KEYS_PER_MESSAGE;
-        let mut due: Vec<ServerKey> =
-            self.crashes.iter().filter(|(_, r)| r.sends_left > 0).map(|(key, _)| *key).collect();
+        let mut keys_left = MAX_MESSAGE_KEYS;
+        let mut due: Vec<ServerKey> = self
+            .crashes
+            .iter()
+            .filter(|(_, record)| record.sends_left > 0)
+            .map(|(key, _)| *key)
+            .collect();
         due.sort_by_key(|key| (Reverse(self.crashes[key].sends_left), *key));
         let mut crashes = Vec::new();
         for server in due {
@@ -96,19 +101,19 @@
         CrashReport { crashes, clearances: self.clearances.unsent(now, keys_left) }
     }
 
-    fn merge_crash(&mut self, now: TimePoint, news: &CrashUpdate) -> bool {
-        let at = now - Duration::from_millis(news.age_ms.into());
-        let idle_since = now - Duration::from_millis(news.idle_ms.into());
+    fn merge_crash(&mut self, now: TimePoint, update: &CrashUpdate) -> bool {
+        let at = now - Duration::from_millis(update.age_ms.into());
+        let idle_since = now - Duration::from_millis(update.idle_ms.into());
         if now.since(idle_since) >= CRASH_RETENTION {
             return false;
         }
         let mut is_new = false;
-        for InterruptedRequest { request, ran_ms } in &news.requests {
+        for InterruptedRequest { request, ran_ms } in &update.requests {
             let began_at = at - Duration::from_millis((*ran_ms).into());
             let run = InterruptedRun { request: *request, started_at: began_at };
-            is_new |= self.add(now, at, idle_since, news.server, run) != AddedRun::Known;
+            is_new |= self.add(now, at, idle_since, update.server, run) != RunChange::Unchanged;
         }
-        if let Some(record) = self.crashes.get_mut(&news.server) {
+        if let Some(record) = self.crashes.get_mut(&update.server) {
             let returned = idle_since.since(record.idle_since) >= RETURN_PERIOD / 2;
             record.idle_since = record.idle_since.max(idle_since);
             is_new |= returned;
@@ -117,12 +122,12 @@
     }
 
     fn schedule_resends(&mut self, now: TimePoint) {
-        if now.since(self.resent_at) < REPEAT_PERIOD {
+        if now.since(self.resent_at) < RESEND_PERIOD {
             return;
         }
         self.resent_at = now;
         for record in self.crashes.values_mut() {
-            let is_recent = now.since(record.crashed_at) < REPEAT_LIFE;
+            let is_recent = now.since(record.crashed_at) < RESEND_WINDOW;
             if is_recent && !record.requests.is_empty() {
                 record.sends_left = record.sends_left.max(1);
             }
--- a/src/quarantine/crash_record.rs
+++ b/src/quarantine/crash_record.rs
@@ -2,51 +2,52 @@
 use crate::keys::{RequestKey, ServerKey, TimePoint};
 use std::time::Duration;
 
-/// Requests kept of one crash: as many as an engine runs at once.
-const MOST_REQUESTS: usize = 64;
-/// How often a host tells what is new to it, to a few hosts each time. Six hosts a time reach all of 300 in four
-/// rounds (reckoned); twice as many make up for lost datagrams.
-pub(super) const TELLS: u8 = 8;
+/// Maximum number of requests kept per crash: as many as an engine runs at once.
+const MAX_REQUESTS: usize = 64;
+/// How many times a host sends each new item, each time to a few other hosts. With six hosts per send, all of 300
+/// hosts are reached in an estimated four rounds; twice as many sends make up for lost datagrams.
+pub(super) const UPDATE_SENDS: u8 = 8;
 
-/// Hosts notice the same crash so far apart, and news take so long. A run that began by so much before another server's
-/// crash may have been the answer to it; differences below it are not told on.
-pub(super) const CLOCK_SLACK: Duration = Duration::from_millis(10);
+/// How far apart hosts may detect the same crash, including the delay of updates. A run that started by less than this
+/// before the crash of another server may have been a retry after that crash. Hosts do not send each other smaller
+/// corrections of start times.
+pub(super) const CLOCK_TOLERANCE: Duration = Duration::from_millis(10);
 
-/// A request that was at a crash.
+/// A request that was in flight at a crash.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct InterruptedRun {
     pub request: RequestKey,
-    /// Since when it had been there, by the oldest of its runs.
+    /// When the oldest of its runs on the server started.
     pub started_at: TimePoint,
 }
 
-/// What a record learned of a request.
+/// How adding a run changed a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum AddedRun {
-    /// That it was there.
+pub(super) enum RunChange {
+    /// The request is new to the record.
     New,
-    /// That it had been there for notably longer.
-    Longer,
-    /// Nothing, or no more is kept.
-    Known,
+    /// The run started earlier than was known, by more than [`CLOCK_TOLERANCE`].
+    Extended,
+    /// Nothing worth sending to other hosts changed, or the record is full.
+    Unchanged,
 }
 
-/// One crash of a server and the requests that were there.
+/// One crash of a server and the requests in flight at it.
 #[derive(Debug, Clone)]
 pub(super) struct CrashRecord {
-    /// When it was.
+    /// When the server crashed.
     pub crashed_at: TimePoint,
-    /// When this host learned of it.
+    /// When this host learned of the crash.
     pub learned_at: TimePoint,
-    /// When one of its requests last came again.
+    /// When a caller last sent one of its requests again.
     pub idle_since: TimePoint,
-    /// Requests that were there and are not acquitted.
+    /// Requests that were in flight and are not cleared.
     pub requests: Vec<InterruptedRun>,
-    /// How often it is yet to be told.
+    /// How many more times the record is sent to other hosts.
     pub sends_left: u8,
-    /// When the last return was told.
+    /// When a return was last scheduled for sending.
     pub return_sent_at: TimePoint,
-    /// The store's copy has all of it.
+    /// Whether the copy in the store contains the whole record.
     pub is_saved: bool,
 }
 
@@ -63,40 +64,40 @@
         }
     }
 
-    /// Adds a request, or learns that it had been there for longer.
-    pub fn add(&mut self, run: InterruptedRun) -> AddedRun {
-        let has_room = self.requests.len() < MOST_REQUESTS;
+    /// Adds a request, or moves the start of its run back.
+    pub fn add(&mut self, run: InterruptedRun) -> RunChange {
+        let has_room = self.requests.len() < MAX_REQUESTS;
         match self.requests.iter_mut().find(|known| known.request == run.request) {
             Some(known) if run.started_at < known.started_at => {
-                let is_told = known.started_at.since(run.started_at) > CLOCK_SLACK;
+                let is_notable = known.started_at.since(run.started_at) > CLOCK_TOLERANCE;
                 known.started_at = run.started_at;
-                if is_told { AddedRun::Longer } else { AddedRun::Known }
+                if is_notable { RunChange::Extended } else { RunChange::Unchanged }
             }
             None if has_room => {
                 self.requests.push(run);
-                AddedRun::New
+                RunChange::New
             }
-            Some(_) | None => AddedRun::Known,
+            Some(_) | None => RunChange::Unchanged,
         }
     }
 
-    /// Whether a request was there.
+    /// Whether a request was in flight.
     pub fn has(&self, request: RequestKey) -> bool {
         self.run(request).is_some()
     }
 
-    /// A request that was there.
+    /// The run of a request, if it was in flight.
     pub fn run(&self, request: RequestKey) -> Option<InterruptedRun> {
         self.requests.iter().find(|run| run.request == request).copied()
     }
 
-    /// Whether a copy of this record names all of its requests.
+    /// Whether `copy` contains all requests of this record.
     pub fn is_in(&self, copy: &CrashUpdate) -> bool {
-        let names = |request| copy.requests.iter().any(|broken| broken.request == request);
-        self.requests.iter().all(|run| names(run.request))
+        let contains = |request| copy.requests.iter().any(|copied| copied.request == request);
+        self.requests.iter().all(|run| contains(run.request))
     }
 
-    fn broken(&self, run: &InterruptedRun) -> InterruptedRequest {
+    fn interrupted_request(&self, run: &InterruptedRun) -> InterruptedRequest {
         let ran_ms = whole_millis(self.crashed_at.since(run.started_at));
         InterruptedRequest { request: run.request, ran_ms }
     }
@@ -106,7 +107,7 @@
             server,
             age_ms: whole_millis(now.since(self.crashed_at)),
             idle_ms: whole_millis(now.since(self.idle_since)),
-            requests: self.requests.iter().map(|run| self.broken(run)).collect(),
+            requests: self.requests.iter().map(|run| self.interrupted_request(run)).collect(),
         }
     }
 }
--- a/src/quarantine/crash_verdict.rs
+++ b/src/quarantine/crash_verdict.rs
@@ -1,36 +1,37 @@
-//! Weighs which of the requests that were at crashes caused them.
+//! Decides which of the requests that were in flight at crashes caused them.
 
-use super::crash_record::{CLOCK_SLACK, CrashRecord};
+use super::crash_record::{CLOCK_TOLERANCE, CrashRecord};
 use crate::keys::{RequestKey, ServerKey, TimePoint};
 use std::collections::HashMap;
 use std::fmt;
 use std::time::Duration;
 
-/// Crashes that nobody else explains from which on a request is held back.
+/// Number of crashes after which a request is held back, if no other request explains them better.
 pub const CRASHES_TO_HOLD: usize = 3;
-/// One more while another request was at all of them: a fourth one tells them apart.
-const CRASHES_OF_PAIR: usize = CRASHES_TO_HOLD + 1;
-/// Two more for one that was at several servers at a time: with copies at each of them it is at every crash, whatever the
-/// cause. One that crashes servers is sent on twice more, where three times may be too late.
-const CRASHES_OF_SPREAD: usize = CRASHES_TO_HOLD + 2;
-/// One more is enough if it came this long after the third: a request that crashes servers may be sent on for three
-/// seconds, and hardly later.
+/// One more crash is required while another request was in flight at all of them: a fourth one tells them apart.
+const CRASHES_WITH_COMPANION: usize = CRASHES_TO_HOLD + 1;
+/// Two more crashes are required for a request that ran on several servers at once: with copies on each of them it is
+/// in flight at every crash, whatever the cause. If it does crash servers, it is forwarded twice more; three times
+/// could be too late.
+const CRASHES_WHEN_SPREAD: usize = CRASHES_TO_HOLD + 2;
+/// One more crash suffices if it came this long after the third: a request that crashes servers may be forwarded for
+/// three seconds after its third crash, and only rarely later.
 const LATE_CRASH: Duration = Duration::from_secs(2);
 
-/// What speaks against a request.
+/// The evidence that a request crashes servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct CrashEvidence {
-    /// Crashes at which it was.
+    /// Number of crashes at which the request was in flight.
     pub crashes: usize,
-    /// Those of them that no other request explains better.
+    /// How many of these crashes no other request explains better.
     pub unexplained: usize,
-    /// At one of them nobody else was who was at several.
+    /// Whether at one of these crashes no other request was in flight that had been at several crashes.
     pub was_alone: bool,
-    /// Another request was at all of them.
+    /// Whether another request was in flight at all of these crashes.
     pub has_companion: bool,
-    /// It was at several servers at a time.
+    /// Whether the request ran on several servers at the same time.
     pub is_spread: bool,
-    /// The last crash came long after the third one.
+    /// Whether the last crash came long after the third one.
     pub is_lasting: bool,
 }
 
@@ -46,53 +47,54 @@
 }
 
 impl CrashEvidence {
-    /// Whether the request is held back.
+    /// Whether the evidence suffices to hold the request back.
     pub fn is_enough(&self) -> bool {
         let needed = match (self.is_spread, self.has_companion) {
-            (true, _) if !self.is_lasting => CRASHES_OF_SPREAD,
-            (true, _) | (false, true) => CRASHES_OF_PAIR,
+            (true, _) if !self.is_lasting => CRASHES_WHEN_SPREAD,
+            (true, _) | (false, true) => CRASHES_WITH_COMPANION,
             (false, false) => CRASHES_TO_HOLD,
         };
         self.unexplained >= needed
     }
 }
 
-/// What becomes of a request that was at crashes of servers.
+/// What to do with a request that was in flight at crashes of servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestVerdict {
-    /// It is sent on.
+    /// Forward it.
     Free,
-    /// Too young to tell: news of who else was at its crashes may still come. It waits, for so long at first.
+    /// Let it wait: updates about other requests in flight at its crashes may still arrive.
     Unsettled {
-        /// When something may have changed.
+        /// Time after which the verdict may have changed.
         wait: Duration,
     },
-    /// It is held back.
+    /// Hold it back.
     Held,
 }
 
-/// Crashes by server, and by request.
+/// Crashes by server, and crashed servers by request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CrashIndex<'a> {
     pub crashes: &'a HashMap<ServerKey, CrashRecord>,
     pub requests: &'a HashMap<RequestKey, Vec<ServerKey>>,
 }
 
-/// How strongly a request is suspected; the greater one explains a crash at which both were.
+/// How strongly a request is suspected. Of two requests in flight at a crash, the more suspected one explains it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Suspicion {
-    /// At one of its crashes nobody else was who was at several.
+    /// Whether at one of its crashes no other request was in flight that had been at several crashes.
     was_alone: bool,
     crashes: usize,
 }
 
 impl CrashIndex<'_> {
-    /// What speaks against a request.
+    /// The evidence against a request.
     pub fn evidence(&self, request: RequestKey) -> CrashEvidence {
         self.evidence_from(request, |_| true)
     }
 
-    /// What the crashes that are `counted` say against a request; the others still speak for it.
+    /// The evidence against a request from the crashes that are `counted`. Crashes that are not counted can still show
+    /// that another request is the better explanation.
     pub fn evidence_from(
         &self,
         request: RequestKey,
@@ -103,7 +105,7 @@
             return CrashEvidence { crashes, ..CrashEvidence::default() };
         }
         let own = self.suspicion(request);
-        // Of several that were alone at one of their crashes each has caused some: none excuses another.
+        // Each request that was alone at one of its crashes caused some of them, so none of these excuses another.
         let explained = |record: &&CrashRecord| {
             !own.was_alone && record.requests.iter().any(|run| self.suspicion(run.request) > own)
         };
@@ -143,7 +145,7 @@
         others.any(|run| self.records(request).all(|record| record.has(run.request)))
     }
 
-    /// Whether the last crash at which a request was came long after its third one.
+    /// Whether the last crash of a request came long after its third one.
     fn is_lasting(&self, request: RequestKey) -> bool {
         let mut times: Vec<TimePoint> =
             self.records(request).map(|record| record.crashed_at).collect();
@@ -153,7 +155,7 @@
         third.zip(last).is_some_and(|(third, last)| last.since(*third) >= LATE_CRASH)
     }
 
-    /// Whether a request was at one server before it was broken off at another one.
+    /// Whether a request was running on one server before it was interrupted on another one.
     fn is_spread(&self, request: RequestKey) -> bool {
         let runs = self.records(request).filter_map(|record| {
             let run = record.run(request)?;
@@ -162,8 +164,8 @@
         let mut runs: Vec<(TimePoint, TimePoint)> = runs.collect();
         runs.sort_unstable();
         runs.windows(2).any(|pair| {
-            let [(first_broke, first_began), (broke, began)] = [pair[0], pair[1]];
-            began + CLOCK_SLACK < first_broke && first_began + CLOCK_SLACK < broke
+            let [(first_crash, first_start), (crash, start)] = [pair[0], pair[1]];
+            start + CLOCK_TOLERANCE < first_crash && first_start + CLOCK_TOLERANCE < crash
         })
     }
 }
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -1,8 +1,8 @@
-//! Quarantine tells which requests crash the servers that run them, so that no host sends them on.
+//! Quarantine identifies the requests that crash the servers that run them, so that no host forwards them.
 //!
-//! Inputs are connections that servers broke off, what became of those servers, whole answers, and what
-//! other hosts and the store told; the output is a verdict on a request. A server that crashes takes many
-//! requests with it, so a crash alone says little of one of them: [`CrashTracker`] weighs who was there each time.
+//! Its inputs are connections that servers broke off, whether those servers crashed, full answers, and the updates
+//! of other hosts and the store. Its output is a verdict on a request. A server that crashes interrupts many requests,
+//! so one crash is weak evidence against any of them: [`CrashTracker`] compares the requests in flight at each crash.
 
 mod clearance_table;
 mod crash_exchange;
--- a/src/quarantine/unconfirmed_crashes.rs
+++ b/src/quarantine/unconfirmed_crashes.rs
@@ -2,101 +2,99 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long a server that broke connections off and could be reached after it may turn out to have ended: its entry
-/// goes after three missed heartbeats of 1.2 s, and the news of that are there within 2 s.
-const DOUBT_LIFE: Duration = Duration::from_secs(6);
-/// Servers in doubt at a time.
-const MOST_SERVERS: usize = 256;
-/// Requests kept of each.
-const MOST_REQUESTS: usize = 64;
+/// How long a crash may remain unconfirmed after a connection loss. Even if the server seemed reachable, its entry
+/// may still be removed: that takes three missed heartbeats of 1.2 s, and the update arrives within another 2 s.
+const CONFIRM_TIMEOUT: Duration = Duration::from_secs(6);
+/// Maximum number of servers with an unconfirmed crash.
+const MAX_SERVERS: usize = 256;
+/// Maximum number of requests kept per server.
+const MAX_REQUESTS: usize = 64;
 
-/// A request that a server broke off.
+/// A request whose connection a server broke off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionLoss {
     /// The request.
     pub request: RequestKey,
-    /// When it had been sent there.
+    /// When it was sent to the server.
     pub sent_at: TimePoint,
-    /// When its connection broke.
+    /// When its connection was lost.
     pub lost_at: TimePoint,
 }
 
 #[derive(Debug, Clone)]
 struct UnconfirmedCrash {
-    /// When it last broke off.
-    since: TimePoint,
-    broken: Vec<ConnectionLoss>,
-    /// Whether it is there is being asked.
-    is_asked: bool,
+    last_loss_at: TimePoint,
+    losses: Vec<ConnectionLoss>,
+    /// Whether the server is being probed.
+    is_probed: bool,
 }
 
-/// Servers that broke connections off in the middle of requests, as long as it is not known whether they
-/// crashed or merely lost the connections.
+/// Servers that broke off connections in the middle of requests, while it is unknown whether they crashed or only
+/// lost the connections.
 #[derive(Debug, Clone, Default)]
 pub struct UnconfirmedCrashes {
-    open: HashMap<ServerKey, UnconfirmedCrash>,
+    servers: HashMap<ServerKey, UnconfirmedCrash>,
 }
 
 impl UnconfirmedCrashes {
-    /// A server broke off under a request; true if it is to be asked whether it is still there.
-    pub fn record_loss(&mut self, server: ServerKey, broken: ConnectionLoss) -> bool {
-        if !self.open.contains_key(&server) && self.open.len() >= MOST_SERVERS {
+    /// Records that a server broke off the connection of a request. Returns true if the caller must probe whether the
+    /// server is still running.
+    pub fn record_loss(&mut self, server: ServerKey, loss: ConnectionLoss) -> bool {
+        if !self.servers.contains_key(&server) && self.servers.len() >= MAX_SERVERS {
             return false;
         }
-        let doubt = self.open.entry(server).or_insert_with(|| UnconfirmedCrash {
-            since: broken.lost_at,
-            broken: Vec::new(),
-            is_asked: false,
+        let crash = self.servers.entry(server).or_insert_with(|| UnconfirmedCrash {
+            last_loss_at: loss.lost_at,
+            losses: Vec::new(),
+            is_probed: false,
         });
-        doubt.since = broken.lost_at;
-        doubt.add(broken);
-        !std::mem::replace(&mut doubt.is_asked, true)
+        crash.last_loss_at = loss.lost_at;
+        crash.add(loss);
+        !std::mem::replace(&mut crash.is_probed, true)
     }
 
-    /// The server was reached, or nothing is known of it: it stays in doubt, and is asked again when it breaks off
-    /// again.
+    /// Records that a probe did not show a crash, because it reached the server or was inconclusive. The crash remains
+    /// unconfirmed, and the next connection loss starts another probe.
     pub fn record_probed(&mut self, server: ServerKey) {
-        if let Some(doubt) = self.open.get_mut(&server) {
-            doubt.is_asked = false;
+        if let Some(crash) = self.servers.get_mut(&server) {
+            crash.is_probed = false;
         }
     }
 
-    /// The server has crashed; returns the requests that were there.
+    /// Confirms that a server has crashed. Returns the requests that were in flight.
     pub fn confirm(&mut self, server: ServerKey) -> Vec<ConnectionLoss> {
-        self.open.remove(&server).map(UnconfirmedCrash::crashed).unwrap_or_default()
+        self.servers.remove(&server).map(UnconfirmedCrash::into_crashed).unwrap_or_default()
     }
 
-    /// Returns the servers in doubt that have `ended` since, with the requests that were there, and forgets
-    /// those that have not for long.
+    /// Returns the servers that have `ended` in the meantime, with the requests that were in flight, and drops the
+    /// servers whose last connection loss is too long ago.
     pub fn settle(
         &mut self,
         now: TimePoint,
         ended: impl Fn(ServerKey) -> bool,
     ) -> Vec<(ServerKey, Vec<ConnectionLoss>)> {
-        let over: Vec<ServerKey> = self.open.keys().copied().filter(|key| ended(*key)).collect();
-        let crashed = over.into_iter().map(|key| (key, self.confirm(key))).collect();
-        self.open.retain(|_, doubt| now.since(doubt.since) < DOUBT_LIFE);
+        let ended_keys: Vec<ServerKey> =
+            self.servers.keys().copied().filter(|key| ended(*key)).collect();
+        let crashed = ended_keys.into_iter().map(|key| (key, self.confirm(key))).collect();
+        self.servers.retain(|_, crash| now.since(crash.last_loss_at) < CONFIRM_TIMEOUT);
         crashed
     }
 }
 
 impl UnconfirmedCrash {
-    /// What was there when the server crashed: that broke off the last of them. One that it had broken off before counts
-    /// as well, since it may have come again.
-    fn crashed(self) -> Vec<ConnectionLoss> {
-        let broke_at = self.since;
-        self.broken
-            .into_iter()
-            .map(|broken| ConnectionLoss { lost_at: broke_at, ..broken })
-            .collect()
+    /// The requests that were in flight when the server crashed, which is taken to be when the last connection was
+    /// lost. Requests that lost their connections earlier count as well, since they may have been sent there again.
+    fn into_crashed(self) -> Vec<ConnectionLoss> {
+        let lost_at = self.last_loss_at;
+        self.losses.into_iter().map(|loss| ConnectionLoss { lost_at, ..loss }).collect()
     }
 
-    /// Of several runs of a request the oldest one counts.
-    fn add(&mut self, broken: ConnectionLoss) {
-        let has_room = self.broken.len() < MOST_REQUESTS;
-        match self.broken.iter_mut().find(|known| known.request == broken.request) {
-            Some(known) => known.sent_at = known.sent_at.min(broken.sent_at),
-            None if has_room => self.broken.push(broken),
+    /// Adds a request. Of several runs of one request, the oldest counts.
+    fn add(&mut self, loss: ConnectionLoss) {
+        let has_room = self.losses.len() < MAX_REQUESTS;
+        match self.losses.iter_mut().find(|known| known.request == loss.request) {
+            Some(known) => known.sent_at = known.sent_at.min(loss.sent_at),
+            None if has_room => self.losses.push(loss),
             None => {}
         }
     }
