--- a/src/limits/limit_messages.rs
+++ b/src/limits/limit_messages.rs
@@ -1,54 +1,54 @@
 use crate::keys::OrgKey;
 use serde::{Deserialize, Serialize};
 
-/// A host asks an organisation's owner in its failure domain for units, and tells what it used.
+/// A host's request for units to the organisation's owner in its failure domain, with a report of its use.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LimitRequest {
-    /// Pairs the answer with it; zero if none is waited for.
+    /// Pairs the reply with the request; zero if no reply is expected.
     pub sequence: u32,
     /// The organisation.
     pub org: OrgKey,
-    /// Units that the host used since it started, those asked for included. A sum and not a difference:
-    /// a message that is lost, doubled or late is made good by the next one.
+    /// Units that the host has used since it started, including the requested ones. This is a total and not a
+    /// difference, so the next message makes up for one that was lost, duplicated or late.
     pub used: i64,
-    /// Units asked for; zero if the host only tells what it used.
+    /// Units requested; zero if the host only reports its use.
     pub units: u32,
-    /// What the last owner had left when this host lately heard of it (below zero if more was used than
-    /// there was); a new one goes on from there.
+    /// The level that this host recently saw at the owner; negative if more was used than the bucket contained. A new
+    /// owner continues from there.
     pub seen_level: Option<i32>,
 }
 
-/// The owner's answer.
+/// The owner's reply.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LimitReply {
-    /// Sequence of what it answers.
+    /// Sequence of the request.
     pub sequence: u32,
     /// The organisation.
     pub org: OrgKey,
-    /// In how many milliseconds the units may be there, if they are not granted.
+    /// If the units are not granted, milliseconds until they may be available.
     pub refused_ms: Option<u32>,
-    /// Units left.
+    /// Units left in the owner's bucket.
     pub level: i32,
 }
 
-/// An owner asks the owner of another failure domain for units.
+/// An owner's request for units to the owner in another failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LoanRequest {
-    /// Pairs the loan with it.
+    /// Pairs the loan with the request.
     pub sequence: u32,
     /// The organisation.
     pub org: OrgKey,
-    /// Units wanted.
+    /// Units requested.
     pub units: u32,
 }
 
-/// Units that an owner took out of its bucket for another one.
+/// Units that an owner took out of its bucket for another owner.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LimitLoan {
-    /// Sequence of the question.
+    /// Sequence of the request.
     pub sequence: u32,
     /// The organisation.
     pub org: OrgKey,
-    /// Units.
+    /// Units lent.
     pub units: u32,
 }
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -1,11 +1,11 @@
-//! Limits keeps what each organisation uses within its limit, over all hosts together.
+//! Limits keeps the use of each organisation within its limit, summed over all hosts.
 //!
-//! A limit is divided evenly over the failure domains. In each of them one host owns an organisation's
-//! part: it keeps a bucket that fills at the part's rate, and grants from it what the hosts of the domain
-//! ask for with each request. Nothing else makes units, so the limit holds whatever is cut off, and a
-//! domain that is alone has its part. An owner that runs short borrows from the owners of the other
-//! domains: a lender takes units out of its bucket before it hands them over, so a lost loan only loses
-//! units. A host that reaches no owner has a host's part of its domain's part.
+//! A limit is divided evenly over the failure domains. In each domain one host owns an organisation's share: it keeps a
+//! token bucket that fills at the rate of the share, and grants the units that the hosts of the domain request for each
+//! call. Units have no other source, so the limit holds under any network partition, and an isolated domain still has
+//! its share. An owner that runs low borrows from the owners of the other domains. A lender takes units out of its
+//! bucket before it sends them, so a lost loan only loses units. A host that reaches no owner may use one host's part
+//! of its domain's share.
 
 mod limit_bucket;
 mod limit_ledger;
--- a/src/limits/owner_choice.rs
+++ b/src/limits/owner_choice.rs
@@ -4,61 +4,61 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// An owner that did not answer is not asked again for this long. Nobody takes its place meanwhile: a second
-/// owner that only some hosts believe in would hand out the same part again. The members take about 2.5 s
-/// to agree that a host is gone.
-const SILENCE_LIFE: Duration = Duration::from_millis(500);
+/// How long an owner that did not answer gets no further requests. No other host replaces it during that time, because
+/// a second owner that only some hosts recognize would grant the same share again. The members take about 2.5 s to
+/// agree that a host is dead.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Who owns an organisation's part in a failure domain.
+/// The owner of an organisation's share in a failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OwnerChoice {
-    /// This host does.
+    /// This host.
     Own,
-    /// Another host does.
+    /// Another host.
     Other(MemberUpdate),
-    /// Nobody that answers.
+    /// No host that answers.
     Unknown,
 }
 
-/// Owners that did not answer this host lately.
+/// Owners that recently did not answer this host.
 #[derive(Debug, Clone, Default)]
 pub struct SilentOwners {
     until: HashMap<IncarnationId, TimePoint>,
 }
 
 impl SilentOwners {
-    /// An owner did not answer.
+    /// Records that an owner did not answer.
     pub fn record(&mut self, now: TimePoint, owner: IncarnationId) {
-        self.until.insert(owner, now + SILENCE_LIFE);
+        self.until.insert(owner, now + SILENCE_TIMEOUT);
     }
 
-    /// Whether an owner is passed over.
+    /// Whether requests to an owner are suppressed.
     pub fn contains(&self, now: TimePoint, owner: IncarnationId) -> bool {
         self.until.get(&owner).is_some_and(|until| now < *until)
     }
 
-    /// Forgets those that may be asked again.
+    /// Drops owners to which requests may be sent again.
     pub fn expire(&mut self, now: TimePoint) {
         self.until.retain(|_, until| now < *until);
     }
 }
 
-/// Whether a host has been the owner of a thing ever since a moment: of the `others` in the failure domain nobody who goes
-/// before it is there, or was there at any time after `since`.
+/// Whether a host has owned `key` ever since `since`: none of the `others` in the failure domain that precede it in
+/// rendezvous order is alive, or was alive at any time after `since`.
 pub fn has_owned<'a>(
-    thing: NameKey,
+    key: NameKey,
     own: IncarnationId,
     others: impl Iterator<Item = &'a MemberRecord>,
     since: TimePoint,
 ) -> bool {
-    let rank = |host: IncarnationId| (rendezvous_rank(thing.0, host.0), host);
-    let mut before = others.filter(|record| rank(record.update.incarnation) > rank(own));
-    before.all(|record| !record.update.state.is_living() && record.since <= since)
+    let rank = |host: IncarnationId| (rendezvous_rank(key.0, host.0), host);
+    let mut preceding = others.filter(|record| rank(record.update.incarnation) > rank(own));
+    preceding.all(|record| !record.update.state.is_living() && record.since <= since)
 }
 
-/// Chooses the owner of an organisation's part among the living `hosts` of a failure domain; the same on
-/// all hosts that know the same ones. One that has not met any other host yet (`is_alone`) does not take
-/// itself for the only one: of hosts that start together, each would hand out its domain's whole part.
+/// Chooses the owner of an organisation's share among the living `hosts` of a failure domain. All hosts that know the
+/// same hosts choose the same one. A host that has not contacted any other host yet (`is_alone`) never chooses itself:
+/// otherwise, of hosts that start at the same time, each would grant the whole share of its domain.
 pub fn choose_owner(
     now: TimePoint,
     org: OrgKey,
--- a/src/limits/owner_term.rs
+++ b/src/limits/owner_term.rs
@@ -1,14 +1,14 @@
 use crate::keys::TimePoint;
 use std::time::Duration;
 
-/// A host that did not look after what it owns for longer than this was suspended, and others may have taken its place. Far
-/// more than the pause between two looks, far less than hosts take to agree that one is gone.
-const LONGEST_BREAK: Duration = Duration::from_millis(800);
+/// A host that did not check its ownership for longer than this was suspended, and others may have replaced it. This is
+/// much longer than the interval between two checks, and much shorter than hosts take to agree that one is dead.
+const MAX_GAP: Duration = Duration::from_millis(800);
 
-/// The time in which a host has looked after what it owns without a break.
+/// The time for which a host has checked its ownership without a gap.
 ///
-/// What an owner saves up is worth something only as long as nobody else grants: a host that was the owner, was not, and is
-/// again, has no part in what the other one granted meanwhile.
+/// Units that an owner accumulates are valid only while no other host grants. A host that lost the ownership and
+/// regained it does not know what the other owner granted in between.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OwnerTerm {
     renewed_at: Option<TimePoint>,
@@ -16,7 +16,7 @@
 }
 
 impl OwnerTerm {
-    /// The host looks after what it owns; false if there was a break before.
+    /// Records a check of the ownership. Returns false if there was a gap before it.
     pub fn renew(&mut self, now: TimePoint) -> bool {
         let is_unbroken = !self.is_broken(now);
         if !is_unbroken {
@@ -26,17 +26,17 @@
         is_unbroken
     }
 
-    /// When the host last looked; at its start if it has not.
+    /// When the host last checked its ownership; the time of its start if it never has.
     pub fn renewed_at(&self) -> TimePoint {
         self.renewed_at.unwrap_or_default()
     }
 
-    /// Whether the host should have looked meanwhile: what it saved up counts no more.
+    /// Whether a check is overdue, which makes accumulated units invalid.
     pub fn is_broken(&self, now: TimePoint) -> bool {
-        self.renewed_at.is_some_and(|at| now.since(at) > LONGEST_BREAK)
+        self.renewed_at.is_some_and(|at| now.since(at) > MAX_GAP)
     }
 
-    /// Whether there was no break for `time`, or none at all.
+    /// Whether there was no gap within the last `time`, or none since the start.
     pub fn lasts_for(&self, now: TimePoint, time: Duration) -> bool {
         let is_first = self.started_at == TimePoint::default();
         !self.is_broken(now) && (is_first || now.since(self.started_at) >= time)
--- a/src/quarantine/crash_tracker.rs
+++ b/src/quarantine/crash_tracker.rs
@@ -57,9 +57,9 @@
         &mut self,
         now: TimePoint,
         server: ServerKey,
-        broken: &ConnectionLoss,
+        loss: &ConnectionLoss,
     ) -> bool {
-        let ConnectionLoss { request, sent_at, lost_at } = *broken;
+        let ConnectionLoss { request, sent_at, lost_at } = *loss;
         let run = InterruptedRun { request, started_at: sent_at };
         let added = self.add(now, lost_at, now, server, run);
         if added != RunChange::Unchanged {
--- a/src/retries/mod.rs
+++ b/src/retries/mod.rs
@@ -1,10 +1,11 @@
-//! Retries keep the repeats of all hosts together within what the platform allows: a ratio of the requests of a
-//! sliding window, and a slack beyond that.
+//! Retries keeps the retries of all hosts together within the platform's retry budget: a ratio of the requests in a
+//! sliding window, plus a fixed slack.
 //!
-//! Among a thousand hosts an even share of the slack is one repeat for each, and most of it lies idle at hosts that need
-//! none. So each host keeps only a small part of its own ([`RetryWindow`]), with the ratio of its own requests; the
-//! rest is a pool for each failure domain, which one of its hosts hands out ([`RetryPools`]) when another one is due a
-//! repeat that its own part does not cover. Decisions are pure: questions and the present time in, grants out.
+//! Among a thousand hosts an even share of the slack is one retry for each, and most of it would stay unused at hosts
+//! that need none. Therefore each host has only a small share of its own ([`RetryWindow`]), plus the ratio of its own
+//! requests. The rest forms one pool for each failure domain. One host of the domain owns the pool and grants from it
+//! ([`RetryPools`]) when another host needs a retry that its own share does not cover. Decisions are pure: requests and
+//! the present time in, grants out.
 
 mod retry_messages;
 mod retry_pools;
--- a/src/retries/retry_messages.rs
+++ b/src/retries/retry_messages.rs
@@ -1,22 +1,22 @@
 use crate::routes::ServiceKey;
 use serde::{Deserialize, Serialize};
 
-/// A host asks the owner of its failure domain's pool for repeats of a service's requests.
+/// A host's request to the owner of its failure domain's pool for retries of a service's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetryRequest {
-    /// Pairs the reply with it.
+    /// Pairs the reply with the request.
     pub sequence: u32,
     /// The service.
     pub service: ServiceKey,
-    /// Repeats asked for; all of them are granted, or none.
+    /// Number of retries requested; all of them are granted, or none.
     pub count: u32,
 }
 
 /// The owner's reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetryReply {
-    /// Sequence of the question.
+    /// Sequence of the request.
     pub sequence: u32,
-    /// Whether the repeats may be made.
+    /// Whether the retries are granted.
     pub granted: bool,
 }
--- a/src/server_limits/closed_servers.rs
+++ b/src/server_limits/closed_servers.rs
@@ -6,23 +6,23 @@
 #[derive(Debug, Clone, Copy)]
 struct ServerClosure {
     until: TimePoint,
-    /// Requests of this rank, and less urgent ones, were refused.
+    /// Requests of this rank and less urgent ones are not sent.
     rank: CallRank,
 }
 
-/// Servers whose owners refused this host's requests, until they may be asked again.
+/// Servers whose owners refused this host's requests, until permission may be requested again.
 #[derive(Debug, Default)]
 pub struct ClosedServers {
     closures: HashMap<ServerKey, ServerClosure>,
 }
 
 impl ClosedServers {
-    /// A request was refused and may be asked for again after `wait`.
+    /// Records that a request of `rank` was refused; permission may be requested again after `wait`.
     pub fn record(&mut self, now: TimePoint, server: ServerKey, rank: CallRank, wait: Duration) {
         self.closures.insert(server, ServerClosure { until: now + wait, rank });
     }
 
-    /// When requests of a rank may be asked for again, if that is not yet.
+    /// How long until permission for requests of a rank may be requested again; `None` if it may be requested now.
     pub fn closed_for(
         &self,
         now: TimePoint,
@@ -33,7 +33,7 @@
         (now < closure.until).then(|| closure.until.since(now))
     }
 
-    /// Forgets those that may be asked again.
+    /// Drops servers for which permission may be requested again.
     pub fn expire(&mut self, now: TimePoint) {
         self.closures.retain(|_, closure| now < closure.until);
     }
--- a/src/server_limits/limit_table.rs
+++ b/src/server_limits/limit_table.rs
@@ -3,46 +3,47 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How often each change is told on, to a few other hosts each time: with six a time 300 hosts hear of it
-/// within four times.
-const TELLS: u32 = 4;
-/// Limits in force are told again after this long, for hosts that were cut off or have just come.
-const REPEAT_PERIOD: Duration = Duration::from_secs(1);
-/// Limits told at once: at 20 bytes each within one datagram. Others have their turn the next time.
-const MOST_TOLD: usize = 96;
-/// Answers without a limit, one after the other, after which it counts as taken back. One may be missing in
-/// some answers, so the limit is lifted by steps: from the second such answer on each doubles it. Where three in a row
-/// lifted it at once, a server that had left it out by chance got 12 requests within 60 ms.
+/// How many times each change is sent, each time to a few other hosts: with six hosts per send, 300 hosts are reached
+/// within four sends.
+const UPDATE_SENDS: u32 = 4;
+/// Interval at which limits in force are sent again, for hosts that were cut off or have just started.
+const RESEND_PERIOD: Duration = Duration::from_secs(1);
+/// Maximum number of limits in one message: at 20 bytes each they fit into one datagram. The rest follows in the next
+/// message.
+const MAX_UPDATES: usize = 96;
+/// Number of consecutive answers without a limit after which the limit counts as withdrawn. Since some answers may lack
+/// the limit by chance, it is raised in steps: from the second such answer on, each answer doubles it. When three in
+/// a row withdrew it at once, a server that had omitted it by chance received 12 requests within 60 ms.
 const ABSENT_ANSWERS: u32 = 8;
-/// While a limit is in doubt, this many requests a second may find out, whatever it says: the steps take
-/// about five seconds also at a server that named a tenth of a request a second.
+/// Minimum requests a second while the last answer lacked the limit, however low the limit is. This way the steps take
+/// about five seconds even for a server that named a tenth of a request a second.
 const DOUBT_RATE: f64 = 1.0;
-/// A server that named less than this, or zero, still gets as many requests a second: one each 20 s, whose answer
-/// tells whether its limit still stands.
-const LEAST_RATE: f64 = 0.05;
-/// What is known of a limit that was taken back, or of a server that is gone, is forgotten after this long.
-const FORGET_TIME: Duration = Duration::from_secs(60);
+/// Minimum requests a second for a server that named a lower limit or zero. This is one request each 20 s, whose answer
+/// shows whether the limit is still in force.
+const MIN_RATE: f64 = 0.05;
+/// How long the record of a withdrawn limit, or of a server that no longer exists, is kept.
+const RETENTION: Duration = Duration::from_secs(60);
 
-/// What is known of one server's limit.
+/// The state of one server's limit.
 #[derive(Debug, Clone, Copy)]
 struct LimitRecord {
     update: LimitUpdate,
     adopted_at: TimePoint,
-    /// Answers without it since the last one that named it.
+    /// Number of answers without the limit since the last one that named it.
     absences: u32,
     sends_left: u32,
 }
 
-/// How a limit changed.
+/// A change of a server's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitChange {
-    /// What was in force.
+    /// The limit that was in force before.
     pub previous: Option<ServerLimit>,
-    /// What is now.
+    /// What is known now.
     pub current: LimitUpdate,
 }
 
-/// The limits that backend servers named, as far as this host knows.
+/// The limits that backend servers named, as far as they are known to this host.
 #[derive(Debug, Default)]
 pub struct LimitTable {
     records: HashMap<ServerKey, LimitRecord>,
@@ -50,26 +51,26 @@
 }
 
 impl LimitTable {
-    /// The limit of a server that is in force.
+    /// The limit of a server that is currently in force.
     pub fn limit(&self, server: ServerKey) -> Option<ServerLimit> {
         let record = self.records.get(&server)?;
         let limit = record.update.limit?;
         Some(match record.absences {
-            0 => limit.at_least(LEAST_RATE),
+            0 => limit.at_least(MIN_RATE),
             absents => limit.at_least(DOUBT_RATE).doubled(absents - 1),
         })
     }
 
-    /// What is known of a server's limit.
+    /// The latest update that is known about a server's limit.
     pub fn latest(&self, server: ServerKey) -> LimitUpdate {
         let unknown = LimitUpdate { server, version: 0, limit: None };
         self.records.get(&server).map_or(unknown, |record| record.update)
     }
 
-    /// An answer to a request that was sent at `sent_at` named `limit`.
+    /// Applies an answer that named `limit` to a request that was sent at `sent_at`.
     ///
-    /// Answers overtake each other. One that was asked for before the last change was learned may be older than
-    /// that change, and is believed only if it names less.
+    /// Answers may arrive out of order. An answer to a request that was sent before the last change became known may be
+    /// older than that change, and is applied only if it lowers the limit.
     pub fn apply_answer(
         &mut self,
         now: TimePoint,
@@ -81,22 +82,22 @@
         if known.limit == Some(limit) {
             return None;
         }
-        let names_less = known.limit.is_some_and(|known| limit < known);
-        if !names_less && !self.is_later(sent_at, server) {
+        let is_lower = known.limit.is_some_and(|known| limit < known);
+        if !is_lower && !self.is_later(sent_at, server) {
             return None;
         }
-        let news = LimitUpdate { server, version: known.version + 1, limit: Some(limit) };
-        Some(self.adopt(now, news))
+        let update = LimitUpdate { server, version: known.version + 1, limit: Some(limit) };
+        Some(self.adopt(now, update))
     }
 
-    /// Whether an answer to a request that was sent at `sent_at` is certainly later than what is known.
+    /// Whether an answer to a request that was sent at `sent_at` is certainly later than the last known change.
     pub fn is_later(&self, sent_at: TimePoint, server: ServerKey) -> bool {
         self.records.get(&server).is_none_or(|record| sent_at >= record.adopted_at)
     }
 
-    /// A server that has a limit answered later than what is known under `version`, and either named its limit or
-    /// did not. Told to the one host that counts these answers, and takes the limit back when enough of them came
-    /// one after the other.
+    /// Records an answer of a server that has a limit. The answer is later than the change `version`, and `is_named`
+    /// says whether it named the limit. One host counts these answers, and withdraws the limit after enough consecutive
+    /// answers without it.
     pub fn record_answer(
         &mut self,
         now: TimePoint,
@@ -115,27 +116,27 @@
         Some(self.adopt(now, LimitUpdate { server, version: version + 1, limit: None }))
     }
 
-    /// Takes over what another host told.
-    pub fn merge(&mut self, now: TimePoint, news: &LimitUpdate) -> Option<LimitChange> {
-        let known = self.latest(news.server);
-        news.replaces(&known).then(|| self.adopt(now, *news))
+    /// Merges an update of another host.
+    pub fn merge(&mut self, now: TimePoint, update: &LimitUpdate) -> Option<LimitChange> {
+        let known = self.latest(update.server);
+        update.replaces(&known).then(|| self.adopt(now, *update))
     }
 
-    /// What is to be told next; bounded, whatever there is.
+    /// The next updates to send to other hosts. Their number is bounded.
     pub fn unsent(&mut self, now: TimePoint) -> Vec<LimitUpdate> {
         self.schedule_resends(now);
         let due = self.records.values_mut().filter(|record| record.sends_left > 0);
-        let told = due.take(MOST_TOLD).map(|record| {
+        let updates = due.take(MAX_UPDATES).map(|record| {
             record.sends_left -= 1;
             record.update
         });
-        told.collect()
+        updates.collect()
     }
 
-    /// All limits in force, for a host that comes or compares notes.
+    /// The limits in force, for a host that joins or synchronizes its state. Their number is bounded.
     pub fn all(&self) -> Vec<LimitUpdate> {
         let records = self.records.values().map(|record| record.update);
-        records.filter(|news| news.limit.is_some()).take(MOST_TOLD).collect()
+        records.filter(|update| update.limit.is_some()).take(MAX_UPDATES).collect()
     }
 
     /// Servers that have a limit.
@@ -144,23 +145,23 @@
         records.filter(|record| record.update.limit.is_some()).map(|record| record.update.server)
     }
 
-    /// Forgets limits that were taken back long ago, and those of servers that are gone.
-    pub fn expire(&mut self, now: TimePoint, is_there: impl Fn(ServerKey) -> bool) {
+    /// Drops limits that were withdrawn long ago, and those of servers for which `exists` returns false.
+    pub fn expire(&mut self, now: TimePoint, exists: impl Fn(ServerKey) -> bool) {
         self.records.retain(|server, record| {
-            let is_in_use = record.update.limit.is_some() && is_there(*server);
-            is_in_use || now.since(record.adopted_at) < FORGET_TIME
+            let is_in_use = record.update.limit.is_some() && exists(*server);
+            is_in_use || now.since(record.adopted_at) < RETENTION
         });
     }
 
-    fn adopt(&mut self, now: TimePoint, news: LimitUpdate) -> LimitChange {
-        let was = self.latest(news.server).limit;
-        let record = LimitRecord { update: news, adopted_at: now, absences: 0, sends_left: TELLS };
-        self.records.insert(news.server, record);
-        LimitChange { previous: was, current: news }
+    fn adopt(&mut self, now: TimePoint, update: LimitUpdate) -> LimitChange {
+        let previous = self.latest(update.server).limit;
+        let record = LimitRecord { update, adopted_at: now, absences: 0, sends_left: UPDATE_SENDS };
+        self.records.insert(update.server, record);
+        LimitChange { previous, current: update }
     }
 
     fn schedule_resends(&mut self, now: TimePoint) {
-        if now.since(self.resent_at) < REPEAT_PERIOD {
+        if now.since(self.resent_at) < RESEND_PERIOD {
             return;
         }
         self.resent_at = now;
--- a/src/server_limits/limit_update.rs
+++ b/src/server_limits/limit_update.rs
@@ -2,20 +2,20 @@
 use crate::keys::ServerKey;
 use serde::{Deserialize, Serialize};
 
-/// What a host knows of one server's limit.
+/// What a host knows about the limit of one server.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LimitUpdate {
-    /// The life of the server.
+    /// The server incarnation.
     pub server: ServerKey,
-    /// Rises with each change that a host learned from an answer.
+    /// Increases with each change that a host learns from an answer.
     pub version: u32,
-    /// The limit; `None` if the server took it back, or never named one.
+    /// The limit; `None` if the server withdrew it or never named one.
     pub limit: Option<ServerLimit>,
 }
 
 impl LimitUpdate {
-    /// Whether this is to be believed rather than `other`: the later change, and of two changes at the same
-    /// time the one that sends less.
+    /// Whether this update takes precedence over `other`: the later version does, and of two updates with the same
+    /// version, the one that allows fewer requests.
     pub fn replaces(&self, other: &Self) -> bool {
         if self.version != other.version {
             return self.version > other.version;
--- a/src/server_limits/mod.rs
+++ b/src/server_limits/mod.rs
@@ -1,12 +1,13 @@
-//! Server limits keep what backend servers in need take from all hosts together.
+//! Server limits keeps the requests of all hosts to an overloaded backend server within the limit that the server names.
 //!
-//! A server names its limit in its answers. [`LimitTable`] holds what is known of each server's limit, by its
-//! own answers and by what other hosts told. While it stands, one host owns the server: one of its failure
-//! domain, so that who reaches the server reaches its owner, and who does not sends nothing. Each request is
-//! asked for at the owner before it is sent ([`PermitRequest`]), and the owner's [`SendLedger`] grants from a bucket
-//! that fills at the limit. Every question tells what its host sent in the last seconds, so that an owner knows
-//! what was sent before the limit was named, or before it was the owner. A server that has just started bears little
-//! for some seconds ([`ColdServers`]), which is kept to in the same way. [`SendControl`] joins these for a host.
+//! A server names its limit in its answers. [`LimitTable`] holds the limits of all servers, learned from their answers
+//! and from updates of other hosts. While a limit is in force, one host owns the server. The owner is in the failure
+//! domain of the server, so that a host that reaches the server also reaches the owner, and a host that does not reach
+//! the owner sends nothing. Before each request a host asks the owner for a permit ([`PermitRequest`]), and the owner's
+//! [`SendLedger`] grants it from a token bucket that fills at the limit. Each permit request reports what its host sent
+//! in the last seconds, so that the owner knows what was sent before the limit was named, or before it became the
+//! owner. A server that has just started has a lower limit for some seconds ([`ColdServers`]), which is enforced in the
+//! same way. [`SendControl`] combines all of this for one host.
 
 mod call_rank;
 mod closed_servers;
--- a/src/server_limits/send_account.rs
+++ b/src/server_limits/send_account.rs
@@ -1,4 +1,4 @@
-//! What an owner knows of one server: how full its bucket is, and what each host sent there.
+//! The owner's account of one server: its bucket, and what each host sent to the server.
 
 use super::send_ledger::{COUNT_WINDOW, LEARN_TIME};
 use super::{CallRank, PermitDecision, PermitPurpose, PermitRequest, SendHistory, ServerLimit};
@@ -7,28 +7,29 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
-/// Saved up for requests that come together: what a limit allows in this time, beside one request. With less, what
-/// comes between two questions is lost: one part in twenty of a limit of three a second.
+/// The burst is what the limit allows in this time, plus one request. A smaller burst would lose units that accumulate
+/// between two permit requests: one in twenty at a limit of three a second.
 const BURST_TIME: Duration = Duration::from_millis(250);
-/// Requests that a window may hold before nothing is granted, as a part of what the limit allows in it and in
-/// requests beyond that. In steady state the bucket keeps it to about one part; the rest is for what other owners
-/// granted meanwhile. What a server bears is one and a half parts and five requests.
-const COUNT_PART: f64 = 1.25;
-const COUNT_MORE: f64 = 3.0;
-/// How long questions tell how much more urgent requests want.
-const DEMAND_TIME: Duration = Duration::from_secs(2);
-/// Questions of which that is told at most.
-const MOST_DEMAND: usize = 256;
-/// Part of a limit that less urgent requests have whatever more urgent ones want, so that none starves.
-const LEAST_PART: f64 = 0.25;
-/// The furthest moment to which a caller is told to come back.
-const MOST_COME_BACK: Duration = Duration::from_secs(10);
-/// Decisions kept for questions that are asked twice.
-const KEPT_DECISIONS: usize = 8;
-
-/// What one host told, and what it was told.
+/// Nothing is granted while the window contains more than this ratio of what the limit allows in it, plus
+/// [`COUNT_SLACK`] requests. In steady state the bucket keeps the ratio at about one; the rest allows for what other
+/// owners granted in the meantime. A server tolerates a ratio of one and a half, plus five requests.
+const COUNT_RATIO: f64 = 1.25;
+const COUNT_SLACK: f64 = 3.0;
+/// How long permit requests count as demand of their rank.
+const DEMAND_WINDOW: Duration = Duration::from_secs(2);
+/// Maximum number of permit requests that count as demand.
+const MAX_DEMAND: usize = 256;
+/// Fraction of a limit that is kept for less urgent requests, whatever the demand of more urgent ones, so that no rank
+/// starves.
+const MIN_SHARE: f64 = 0.25;
+/// Longest wait after which a refused caller is told to retry.
+const MAX_RETURN_WAIT: Duration = Duration::from_secs(10);
+/// Number of decisions that are kept per host for permit requests that arrive twice.
+const MAX_DECISIONS: usize = 8;
+
+/// The sends that one host reported, and the last decisions on its permit requests.
 #[derive(Debug, Default)]
-struct HostTrail {
+struct HostHistory {
     sequence: u32,
     received_at: TimePoint,
     history: SendHistory,
@@ -40,11 +41,11 @@
 pub(super) struct SendAccount {
     opened_at: TimePoint,
     bucket: LimitBucket,
-    /// What requests of a rank have while more urgent ones want some, too.
+    /// The bucket of each rank for times when there is demand from more urgent ranks.
     rank_buckets: BTreeMap<CallRank, LimitBucket>,
     demand: VecDeque<(TimePoint, CallRank)>,
-    histories: HashMap<IncarnationId, HostTrail>,
-    /// To when the last refused caller was told to come back.
+    histories: HashMap<IncarnationId, HostHistory>,
+    /// The time at which the last refused caller was told to retry.
     last_return_at: TimePoint,
 }
 
@@ -60,23 +61,23 @@
         }
     }
 
-    /// Decides on a question.
+    /// Decides on a permit request.
     pub fn receive(
         &mut self,
         now: TimePoint,
         from: IncarnationId,
-        ask: &PermitRequest,
+        request: &PermitRequest,
         limit: ServerLimit,
     ) -> PermitDecision {
-        if let Some(decision) = self.decided(from, ask.sequence) {
+        if let Some(decision) = self.decided(from, request.sequence) {
             return decision;
         }
-        self.apply_history(now, from, ask);
+        self.apply_history(now, from, request);
         let share = share(limit);
         self.bucket.clamp(now, &share);
-        let decision = match ask.purpose {
-            PermitPurpose::Send => self.decide(now, ask.rank, limit),
-            PermitPurpose::RetryAfter => self.schedule_return(now, ask.rank, limit),
+        let decision = match request.purpose {
+            PermitPurpose::Send => self.decide(now, request.rank, limit),
+            PermitPurpose::RetryAfter => self.schedule_return(now, request.rank, limit),
             PermitPurpose::Release => {
                 self.bucket.charge(now, &share, -1.0);
                 PermitDecision::Granted
@@ -84,35 +85,36 @@
             PermitPurpose::Report => PermitDecision::Granted,
         };
         let host = self.histories.entry(from).or_default();
-        if ask.purpose == PermitPurpose::Send && decision == PermitDecision::Granted {
-            // Until its host tells it.
+        if request.purpose == PermitPurpose::Send && decision == PermitDecision::Granted {
+            // The send counts from now on, before its host reports it.
             host.history.add_now();
         }
-        host.decisions.push_back((ask.sequence, decision));
-        if host.decisions.len() > KEPT_DECISIONS {
+        host.decisions.push_back((request.sequence, decision));
+        if host.decisions.len() > MAX_DECISIONS {
             host.decisions.pop_front();
         }
         decision
     }
 
-    /// Forgets hosts whose sends are all old.
+    /// Drops hosts whose sends are all older than the window.
     pub fn expire(&mut self, now: TimePoint) {
         self.histories.retain(|_, host| now.since(host.received_at) < COUNT_WINDOW);
     }
 
-    /// What was decided on a question whose reply was lost.
+    /// The earlier decision on a permit request that arrives again because its reply was lost.
     fn decided(&self, from: IncarnationId, sequence: u32) -> Option<PermitDecision> {
         let decisions = &self.histories.get(&from)?.decisions;
-        decisions.iter().find(|(of, _)| *of == sequence).map(|(_, decision)| *decision)
+        decisions.iter().find(|(decided, _)| *decided == sequence).map(|(_, decision)| *decision)
     }
 
-    /// A trail is a sum and not a difference: one that is lost or late is made good by the next one.
-    fn apply_history(&mut self, now: TimePoint, from: IncarnationId, ask: &PermitRequest) {
+    /// Replaces the history of a host. A history is complete and not a difference, so the next one makes up for one that
+    /// was lost or late.
+    fn apply_history(&mut self, now: TimePoint, from: IncarnationId, request: &PermitRequest) {
         let host = self.histories.entry(from).or_default();
-        if ask.sequence >= host.sequence {
-            host.sequence = ask.sequence;
+        if request.sequence >= host.sequence {
+            host.sequence = request.sequence;
             host.received_at = now;
-            host.history.clone_from(&ask.history);
+            host.history.clone_from(&request.history);
         }
     }
 
@@ -123,32 +125,32 @@
             return refused(wait);
         }
         self.bucket.charge(now, &share(limit), 1.0);
-        if let Some(part) = self.rank_share(now, rank, limit) {
-            self.rank_buckets.entry(rank).and_modify(|bucket| bucket.charge(now, &part, 1.0));
+        if let Some(share) = self.rank_share(now, rank, limit) {
+            self.rank_buckets.entry(rank).and_modify(|bucket| bucket.charge(now, &share, 1.0));
         }
         PermitDecision::Granted
     }
 
-    /// When the next request of a rank may go; zero if that is now.
+    /// How long until the next request of a rank may be sent; zero if it may be sent now.
     fn wait(&mut self, now: TimePoint, rank: CallRank, limit: ServerLimit) -> Duration {
-        let learning = (self.opened_at + LEARN_TIME).since(now);
-        let counted = self.window_wait(now, limit);
-        let filled = self.bucket.wait_for(now, &share(limit), 1.0);
-        let parted = self.rank_share(now, rank, limit).map_or(Duration::ZERO, |part| {
+        let learn_wait = (self.opened_at + LEARN_TIME).since(now);
+        let window_wait = self.window_wait(now, limit);
+        let bucket_wait = self.bucket.wait_for(now, &share(limit), 1.0);
+        let rank_wait = self.rank_share(now, rank, limit).map_or(Duration::ZERO, |share| {
             let bucket =
                 self.rank_buckets.entry(rank).or_insert_with(|| LimitBucket::new(now, 0.0));
-            bucket.wait_for(now, &part, 1.0)
+            bucket.wait_for(now, &share, 1.0)
         });
-        learning.max(counted).max(filled).max(parted)
+        learn_wait.max(window_wait).max(bucket_wait).max(rank_wait)
     }
 
-    /// Until when the window holds too many requests: what was sent before the limit was known, or was granted by
-    /// another owner.
+    /// How long the window contains too many requests, because some were sent before the limit was known or were granted
+    /// by another owner.
     fn window_wait(&self, now: TimePoint, limit: ServerLimit) -> Duration {
         let allowed = limit.per_second() * COUNT_WINDOW.as_secs_f64();
-        let allowed = allowed.mul_add(COUNT_PART, COUNT_MORE);
-        let trails = self.histories.values();
-        let mut sent: Vec<(Duration, u32)> = trails
+        let allowed = allowed.mul_add(COUNT_RATIO, COUNT_SLACK);
+        let histories = self.histories.values();
+        let mut sent: Vec<(Duration, u32)> = histories
             .flat_map(|host| host.history.within(now.since(host.received_at), COUNT_WINDOW))
             .collect();
         let count: u32 = sent.iter().map(|(_, count)| count).sum();
@@ -165,27 +167,27 @@
         wait
     }
 
-    /// What a rank has for itself, if more urgent requests want a part of the limit.
+    /// The share of the limit that a rank has while there is demand from more urgent ranks; `None` without such demand.
     fn rank_share(&self, now: TimePoint, rank: CallRank, limit: ServerLimit) -> Option<LimitShare> {
-        let recent = self.demand.iter().filter(|(at, _)| now.since(*at) < DEMAND_TIME);
-        let urgent = recent.filter(|(_, of)| *of < rank).count();
-        if urgent == 0 {
+        let recent = self.demand.iter().filter(|(at, _)| now.since(*at) < DEMAND_WINDOW);
+        let urgent_count = recent.filter(|(_, other)| *other < rank).count();
+        if urgent_count == 0 {
             return None;
         }
         let whole = limit.per_second();
-        let rest = whole - urgent as f64 / DEMAND_TIME.as_secs_f64();
-        Some(LimitShare { rate: rest.max(whole * LEAST_PART), burst: 1.0, initial: 0.0 })
+        let rest = whole - urgent_count as f64 / DEMAND_WINDOW.as_secs_f64();
+        Some(LimitShare { rate: rest.max(whole * MIN_SHARE), burst: 1.0, initial: 0.0 })
     }
 
     fn record_demand(&mut self, now: TimePoint, rank: CallRank) {
         self.demand.push_back((now, rank));
-        if self.demand.len() > MOST_DEMAND {
+        if self.demand.len() > MAX_DEMAND {
             self.demand.pop_front();
         }
     }
 
-    /// When a caller that is refused may come back: callers are told one after the other, at the pace at which
-    /// the limit lets them in.
+    /// Schedules when a refused caller may retry. Callers are scheduled one after the other, at the rate that the limit
+    /// allows.
     fn schedule_return(
         &mut self,
         now: TimePoint,
@@ -193,9 +195,10 @@
         limit: ServerLimit,
     ) -> PermitDecision {
         let next = now + self.wait(now, rank, limit);
-        let pace = Duration::try_from_secs_f64(1.0 / limit.per_second()).unwrap_or(MOST_COME_BACK);
-        let latest = now + MOST_COME_BACK;
-        let at = next.max(self.last_return_at + pace.min(MOST_COME_BACK)).min(latest);
+        let interval =
+            Duration::try_from_secs_f64(1.0 / limit.per_second()).unwrap_or(MAX_RETURN_WAIT);
+        let latest = now + MAX_RETURN_WAIT;
+        let at = next.max(self.last_return_at + interval.min(MAX_RETURN_WAIT)).min(latest);
         self.last_return_at = at;
         refused(at.since(now))
     }
--- a/src/server_limits/send_control.rs
+++ b/src/server_limits/send_control.rs
@@ -5,29 +5,29 @@
 use crate::keys::{IncarnationId, ServerKey, TimePoint};
 use std::time::Duration;
 
-/// A server whose owner does not answer is not asked for again for this long.
+/// How long no further permit is requested for a server whose owner does not answer.
 const SILENT_PAUSE: Duration = Duration::from_millis(250);
-/// When a host may ask again that took this one for the owner, and should know better by then.
-const MOVED_PAUSE_MS: u32 = 100;
+/// Pause for a host that sent its request to a host other than the owner; it should know the owner after this pause.
+const NOT_OWNER_PAUSE_MS: u32 = 100;
 
-/// All that one host knows, sends and grants under the limits of backend servers.
+/// Everything that one host knows, sends and grants under the limits of backend servers.
 #[derive(Debug, Default)]
 pub struct SendControl {
     /// The limits that servers named.
     pub limits: LimitTable,
-    /// What servers bear that have just started.
+    /// The limits of servers that have just started.
     pub cold: ColdServers,
-    /// What this host sent.
+    /// The requests that this host sent.
     pub log: SendLog,
-    /// Servers whose owners refused.
+    /// Servers whose owners refused requests of this host.
     pub closed: ClosedServers,
-    /// What this host grants as an owner.
+    /// The accounts from which this host grants permits as an owner.
     pub ledger: SendLedger,
     sequence: u32,
 }
 
 impl SendControl {
-    /// What a server takes from all hosts together now, if that is limited.
+    /// The limit of a server that currently applies to all hosts together, if there is one.
     pub fn limit(&self, now: TimePoint, server: ServerKey) -> Option<ServerLimit> {
         match (self.limits.limit(server), self.cold.limit(now, server)) {
             (Some(named), Some(cold)) => Some(named.min(cold)),
@@ -42,7 +42,8 @@
         named.chain(cold).collect()
     }
 
-    /// The question of a request of `rank` for `server`, which tells all that was sent there lately.
+    /// Creates the message to the owner of `server` for a request of `rank`. It reports everything that this host
+    /// recently sent to the server.
     pub fn permit_request(
         &mut self,
         now: TimePoint,
@@ -60,37 +61,42 @@
         }
     }
 
-    /// Decides on a question as the owner, or refuses as one that is not (`is_owner`).
+    /// Decides on a permit request as the owner, or refuses it if this host is not the owner (`is_owner`).
     pub fn receive(
         &mut self,
         now: TimePoint,
         from: IncarnationId,
-        ask: &PermitRequest,
+        request: &PermitRequest,
         is_owner: bool,
     ) -> (PermitReply, Option<LimitChange>) {
-        let change = self.limits.merge(now, &ask.update);
-        let server = ask.update.server;
+        let change = self.limits.merge(now, &request.update);
+        let server = request.update.server;
         let decision = match self.limit(now, server) {
             None => PermitDecision::Granted,
-            Some(_) if !is_owner => PermitDecision::Refused { wait_ms: MOVED_PAUSE_MS },
-            Some(limit) => self.ledger.receive(now, from, ask, limit),
+            Some(_) if !is_owner => PermitDecision::Refused { wait_ms: NOT_OWNER_PAUSE_MS },
+            Some(limit) => self.ledger.receive(now, from, request, limit),
         };
         (
-            PermitReply { sequence: ask.sequence, update: self.limits.latest(server), decision },
+            PermitReply {
+                sequence: request.sequence,
+                update: self.limits.latest(server),
+                decision,
+            },
             change,
         )
     }
 
-    /// The reply to a request's question came, or none did. True if it may go; then it counts as sent.
+    /// Applies the reply to a permit request, or the lack of a reply. Returns true if the request may be sent; it then
+    /// counts as sent.
     pub fn apply_reply(
         &mut self,
         now: TimePoint,
-        ask: &PermitRequest,
+        request: &PermitRequest,
         reply: Option<&PermitReply>,
     ) -> bool {
-        let server = ask.update.server;
+        let server = request.update.server;
         if let Some(reply) = reply {
-            // What this changes was told by the owner to others as well.
+            // The owner sends the same update to the other hosts, so a change needs no further action here.
             self.limits.merge(now, &reply.update);
         }
         let wait = match reply.map(|reply| reply.decision) {
@@ -101,12 +107,12 @@
             Some(PermitDecision::Refused { wait_ms }) => Duration::from_millis(wait_ms.into()),
             None => SILENT_PAUSE,
         };
-        self.closed.record(now, server, ask.rank, wait);
+        self.closed.record(now, server, request.rank, wait);
         false
     }
 
-    /// A server answered a request that was sent at `sent_at`, and named `limit` or none. Returns what changed by
-    /// it, and what its owner is to be told.
+    /// Applies a server's answer to a request that was sent at `sent_at`; `limit` is the limit that it named, if any.
+    /// Returns the resulting change and the observation to send to the server's owner.
     pub fn apply_answer(
         &mut self,
         now: TimePoint,
@@ -115,31 +121,31 @@
         limit: Option<ServerLimit>,
     ) -> (Option<LimitChange>, Option<LimitObservation>) {
         let change = limit.and_then(|limit| self.limits.apply_answer(now, sent_at, server, limit));
-        let news = self.limits.latest(server);
+        let update = self.limits.latest(server);
         let is_later = change.is_some() || self.limits.is_later(sent_at, server);
-        let told = (news.limit.is_some() && is_later)
-            .then_some(LimitObservation { update: news, is_named: limit.is_some() });
-        (change, told)
+        let observation = (update.limit.is_some() && is_later)
+            .then_some(LimitObservation { update, is_named: limit.is_some() });
+        (change, observation)
     }
 
-    /// Takes note, as the owner, of an answer that another host or this one got.
+    /// Applies, as the owner, an observation of this host or of another one.
     pub fn apply_observation(
         &mut self,
         now: TimePoint,
-        answered: &LimitObservation,
+        observation: &LimitObservation,
     ) -> Vec<LimitChange> {
-        let LimitUpdate { server, version, .. } = answered.update;
-        let merged = self.limits.merge(now, &answered.update);
-        let counted = self.limits.record_answer(now, server, version, answered.is_named);
+        let LimitUpdate { server, version, .. } = observation.update;
+        let merged = self.limits.merge(now, &observation.update);
+        let counted = self.limits.record_answer(now, server, version, observation.is_named);
         merged.into_iter().chain(counted).collect()
     }
 
-    /// Whether requests of a rank may be asked for at a server now.
+    /// Whether permits for requests of a rank may be requested for a server now.
     pub fn is_open(&self, now: TimePoint, server: ServerKey, rank: CallRank) -> bool {
         self.closed_for(now, server, rank).is_none()
     }
 
-    /// For how long a server that has a limit takes no requests of a rank.
+    /// How long no permits for requests of a rank may be requested for a server that has a limit.
     pub fn closed_for(
         &self,
         now: TimePoint,
@@ -150,9 +156,9 @@
         self.closed.closed_for(now, server, rank)
     }
 
-    /// Forgets what is old.
-    pub fn expire(&mut self, now: TimePoint, is_there: impl Fn(ServerKey) -> bool) {
-        self.limits.expire(now, is_there);
+    /// Drops expired entries; `exists` says whether a server still exists.
+    pub fn expire(&mut self, now: TimePoint, exists: impl Fn(ServerKey) -> bool) {
+        self.limits.expire(now, exists);
         self.log.expire(now);
         self.closed.expire(now);
         self.cold.expire(now);
--- a/src/server_limits/send_history.rs
+++ b/src/server_limits/send_history.rs
@@ -1,21 +1,21 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Requests sent within one short time.
+/// Number of requests sent within one short interval.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryPoint {
-    /// Milliseconds before the trail was made.
+    /// Age in milliseconds when the history was created.
     pub age_ms: u16,
-    /// Requests.
+    /// Number of requests.
     pub count: u16,
 }
 
-/// Requests that one host sent to one server in the last seconds, oldest first.
+/// Requests that one host recently sent to one server, oldest first.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SendHistory(pub Vec<HistoryPoint>);
 
 impl SendHistory {
-    /// Age and count of what was sent within the last `span`, as of `elapsed` after the trail was made.
+    /// Age and count of the sends within the last `span`, when `elapsed` has passed since the history was created.
     pub fn within(
         &self,
         elapsed: Duration,
@@ -27,7 +27,7 @@
         aged.filter(move |(age, _)| *age < span)
     }
 
-    /// Adds a request that goes as the trail is made.
+    /// Adds a request that is sent at the moment the history was created.
     pub fn add_now(&mut self) {
         self.0.push(HistoryPoint { age_ms: 0, count: 1 });
     }
--- a/src/server_limits/send_log.rs
+++ b/src/server_limits/send_log.rs
@@ -4,56 +4,56 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// How long sends are remembered: longer than the window in which a server's limit is counted, so that what
-/// was sent before a limit was known counts against it.
+/// How long sends are kept: longer than the window in which sends are counted against a limit, so that requests sent
+/// before a limit was known count against it.
 pub const LOG_RETENTION: Duration = Duration::from_secs(5);
-/// Sends within this time are counted as one entry, which bounds the log at 100 entries a server.
-const GRAIN: Duration = Duration::from_millis(50);
+/// Sends within this time share one entry, which bounds the log to 100 entries per server.
+const BIN_WIDTH: Duration = Duration::from_millis(50);
 
-/// Sends that began within one grain of time.
+/// Number of sends within one bin of [`BIN_WIDTH`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct SendCount {
     started_at: TimePoint,
     count: u32,
 }
 
-/// Requests that this host sent to each backend server in the last seconds.
+/// Requests that this host recently sent to each backend server.
 #[derive(Debug, Default)]
 pub struct SendLog {
     servers: HashMap<ServerKey, VecDeque<SendCount>>,
 }
 
 impl SendLog {
-    /// A request goes to a server.
+    /// Records that a request is sent to a server.
     pub fn record(&mut self, now: TimePoint, server: ServerKey) {
-        let began = grain(now);
+        let started_at = bin_start(now);
         let counts = self.servers.entry(server).or_default();
         drop_old(now, counts);
         match counts.back_mut() {
-            Some(last) if last.started_at == began => last.count += 1,
-            _ => counts.push_back(SendCount { started_at: began, count: 1 }),
+            Some(last) if last.started_at == started_at => last.count += 1,
+            _ => counts.push_back(SendCount { started_at, count: 1 }),
         }
     }
 
-    /// A request that was noted at `at` did not go.
+    /// Removes a request that was recorded at `at` but not sent.
     pub fn undo(&mut self, at: TimePoint, server: ServerKey) {
-        let began = grain(at);
+        let started_at = bin_start(at);
         let Some(counts) = self.servers.get_mut(&server) else { return };
-        if let Some(entry) = counts.iter_mut().find(|entry| entry.started_at == began) {
+        if let Some(entry) = counts.iter_mut().find(|entry| entry.started_at == started_at) {
             entry.count = entry.count.saturating_sub(1);
         }
     }
 
-    /// Requests that went to a server within the last `span`.
+    /// Number of requests that were sent to a server within the last `span`.
     pub fn recent(&self, now: TimePoint, server: ServerKey, span: Duration) -> u32 {
         let counts = self.servers.get(&server).into_iter().flatten();
         counts
-            .filter(|entry| now.since(entry.started_at + GRAIN) < span)
+            .filter(|entry| now.since(entry.started_at + BIN_WIDTH) < span)
             .map(|entry| entry.count)
             .sum()
     }
 
-    /// All that went to a server in the time that is remembered.
+    /// All requests that were sent to a server within [`LOG_RETENTION`].
     pub fn history(&self, now: TimePoint, server: ServerKey) -> SendHistory {
         let counts = self.servers.get(&server).into_iter().flatten();
         let recent =
@@ -61,7 +61,7 @@
         SendHistory(recent.map(|entry| entry.point(now)).collect())
     }
 
-    /// Forgets what is old.
+    /// Drops entries older than [`LOG_RETENTION`].
     pub fn expire(&mut self, now: TimePoint) {
         self.servers.retain(|_, counts| {
             drop_old(now, counts);
@@ -71,9 +71,9 @@
 }
 
 impl SendCount {
-    /// Counted from the end of its grain: a send is never taken for older than it is.
+    /// The age is measured from the end of the bin, so that no send appears older than it is.
     fn point(self, now: TimePoint) -> HistoryPoint {
-        let age = now.since(self.started_at + GRAIN).as_millis();
+        let age = now.since(self.started_at + BIN_WIDTH).as_millis();
         HistoryPoint {
             age_ms: u16::try_from(age).unwrap_or(u16::MAX),
             count: u16::try_from(self.count).unwrap_or(u16::MAX),
@@ -87,7 +87,7 @@
     }
 }
 
-fn grain(at: TimePoint) -> TimePoint {
-    let length = GRAIN.as_micros() as u64;
+fn bin_start(at: TimePoint) -> TimePoint {
+    let length = BIN_WIDTH.as_micros() as u64;
     TimePoint(at.0 / length * length)
 }
--- a/src/server_limits/send_messages.rs
+++ b/src/server_limits/send_messages.rs
@@ -1,49 +1,49 @@
 use super::{CallRank, LimitUpdate, SendHistory};
 use serde::{Deserialize, Serialize};
 
-/// What a host wants of a server's owner.
+/// Why a host sends a message to the owner of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitPurpose {
-    /// To send a request.
+    /// The host wants to send a request.
     Send,
-    /// To know when a caller may come back that is refused now.
+    /// The host refuses a caller and wants to know when the caller may retry.
     RetryAfter,
-    /// Nothing: a request that was granted did not go.
+    /// The host did not send a request that was granted. No reply is expected.
     Release,
-    /// Nothing: it tells what it sent.
+    /// The host reports what it sent. No reply is expected.
     Report,
 }
 
 impl PermitPurpose {
-    /// Whether a reply is waited for.
+    /// Whether the host waits for a reply.
     pub fn wants_reply(self) -> bool {
         matches!(self, Self::Send | Self::RetryAfter)
     }
 }
 
-/// A host asks the owner of a server that has a limit.
+/// A host's request to the owner of a server that has a limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// Rises with each question of the host.
+    /// Increases with each request of the host.
     pub sequence: u32,
-    /// What the host knows of the limit.
+    /// What the host knows about the limit.
     pub update: LimitUpdate,
-    /// What it wants.
+    /// Why the host sends the message.
     pub purpose: PermitPurpose,
-    /// How urgent the request is.
+    /// The urgency of the request.
     pub rank: CallRank,
-    /// What it sent to the server lately.
+    /// What the host recently sent to the server.
     pub history: SendHistory,
 }
 
-/// What an owner decided.
+/// The decision of an owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitDecision {
-    /// The request may go.
+    /// The request may be sent.
     Granted,
-    /// It may not; another one may be asked for after so many milliseconds.
+    /// The request may not be sent.
     Refused {
-        /// Milliseconds.
+        /// Milliseconds until a permit may be requested again.
         wait_ms: u32,
     },
 }
@@ -51,19 +51,20 @@
 /// The owner's reply.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct PermitReply {
-    /// Sequence of the question.
+    /// Sequence of the request.
     pub sequence: u32,
-    /// What the owner knows of the limit.
+    /// What the owner knows about the limit.
     pub update: LimitUpdate,
-    /// What it decided.
+    /// The owner's decision.
     pub decision: PermitDecision,
 }
 
-/// A server that has a limit answered a request; told to its owner, who counts answers without it.
+/// Reports to the owner that a server that has a limit answered a request. The owner counts the answers that do not
+/// name the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LimitObservation {
-    /// What the host knows of the limit.
+    /// What the host knows about the limit.
     pub update: LimitUpdate,
-    /// The answer named it.
+    /// Whether the answer named the limit.
     pub is_named: bool,
 }
--- a/src/server_limits/server_limit.rs
+++ b/src/server_limits/server_limit.rs
@@ -1,10 +1,10 @@
 use crate::{Error, Result};
 use serde::{Deserialize, Serialize};
 
-/// The longest text that is read as a limit.
-const LONGEST_TEXT: usize = 32;
+/// Maximum length of a text that is parsed as a limit.
+const MAX_TEXT_LENGTH: usize = 32;
 
-/// Requests a second that a backend server takes from all hosts together.
+/// Requests a second that a backend server accepts from all hosts together.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct ServerLimit(f64);
 
@@ -14,7 +14,7 @@
         self.0
     }
 
-    /// Whether it lets nothing in.
+    /// Whether the limit allows no requests.
     pub fn is_zero(self) -> bool {
         self.0 <= 0.0
     }
@@ -31,7 +31,7 @@
         Self(self.0.max(least))
     }
 
-    /// This limit, doubled so often.
+    /// This limit, doubled `times` times.
     #[must_use]
     pub fn doubled(self, times: u32) -> Self {
         Self(self.0 * f64::from(times).exp2())
@@ -41,27 +41,35 @@
 impl TryFrom<f64> for ServerLimit {
     type Error = Error;
 
-    /// Takes a number of requests a second that is neither negative nor endless.
+    /// Converts a number of requests a second, which must be finite and not negative.
     fn try_from(per_second: f64) -> Result<Self> {
-        let wrong = || Error::Protocol(format!("{per_second} is no limit in requests a second"));
-        (per_second.is_finite() && per_second >= 0.0).then_some(Self(per_second)).ok_or_else(wrong)
+        let invalid =
+            || Error::Protocol(format!("{per_second} is not a valid limit in requests a second"));
+        (per_second.is_finite() && per_second >= 0.0)
+            .then_some(Self(per_second))
+            .ok_or_else(invalid)
     }
 }
 
 impl TryFrom<&str> for ServerLimit {
     type Error = Error;
 
-    /// Reads a number in decimal notation: digits, and a fraction if there is one. Signs, exponents and names
-    /// of numbers are refused.
+    /// Parses a number in decimal notation: digits with an optional fraction. Signs, exponents and special values such
+    /// as `NaN` are rejected.
     fn try_from(text: &str) -> Result<Self> {
-        let wrong = || Error::Protocol(format!("{text:?} is no limit in requests a second"));
+        let invalid =
+            || Error::Protocol(format!("{text:?} is not a valid limit in requests a second"));
         let (whole, fraction) = text.split_once('.').unwrap_or((text, "0"));
         let are_digits = |part: &str| part.bytes().all(|byte| byte.is_ascii_digit());
         let is_decimal = !whole.is_empty() && !fraction.is_empty();
-        if text.len() > LONGEST_TEXT || !is_decimal || !are_digits(whole) || !are_digits(fraction) {
-            return Err(wrong());
+        if text.len() > MAX_TEXT_LENGTH
+            || !is_decimal
+            || !are_digits(whole)
+            || !are_digits(fraction)
+        {
+            return Err(invalid());
         }
-        text.parse().map(Self).map_err(|_error| wrong())
+        text.parse().map(Self).map_err(|_error| invalid())
     }
 }
 
