--- a/src/placement/link_schedule.rs
+++ b/src/placement/link_schedule.rs
@@ -43,7 +43,7 @@
     }
 
     /// Reserves the link for `attempt` and returns the time at which its transfer ends.
-    pub fn book(&mut self, attempt: AttemptId, ready_at: TimePoint, bytes: u64) -> TimePoint {
+    pub fn reserve(&mut self, attempt: AttemptId, ready_at: TimePoint, bytes: u64) -> TimePoint {
         let start = self.earliest_start(ready_at, bytes);
         let end = start + self.transfer_time(bytes);
         let index = self.reservations.partition_point(|reservation| reservation.start < start);
--- a/src/placement/server_ledger.rs
+++ b/src/placement/server_ledger.rs
@@ -212,7 +212,7 @@
         }
         let held = self.slots.hold(now, attempt, earliest, latest, max_tokens);
         let handoff_at = held.ok_or(RefusalReason::NoSlot)?;
-        self.link.book(attempt, handoff_at, kv_bytes);
+        self.link.reserve(attempt, handoff_at, kv_bytes);
         self.breaker.record_sent(now);
         Ok(handoff_at)
     }
--- a/tests/memory_search.rs
+++ b/tests/memory_search.rs
@@ -1,5 +1,7 @@
-//! Who is asked for memory when a deployment of hundreds of servers is nearly full. Servers are plain
-//! numbers here; hosts know nothing of their loads, which is the worst that stale news can do.
+//! Which servers receive memory requests when a deployment of hundreds of servers is nearly full.
+//!
+//! Servers are simulated by their free memory. Hosts know nothing about the loads, which is the worst
+//! case of stale load updates.
 
 use rstest::rstest;
 use std::collections::{HashMap, HashSet};
@@ -12,26 +14,26 @@
 };
 
 const DOMAINS: [&str; 5] = ["a", "b", "c", "d", "e"];
-const MEMORY: u32 = 28_650;
-const ANSWER: u32 = 4000;
-/// An answer to a hold, and its way.
-const EXCHANGE: Duration = Duration::from_millis(2);
+const MEMORY_TOKENS: u32 = 28_650;
+const ANSWER_TOKENS: u32 = 4000;
+/// Round trip of a hold request.
+const ROUND_TRIP: Duration = Duration::from_millis(2);
 
-/// Decode servers and the memory that each has left.
+/// Decode servers and the free memory of each.
 struct Fleet {
     servers: Vec<ServerEntry>,
-    left: HashMap<ServerKey, u32>,
+    free: HashMap<ServerKey, u32>,
 }
 
 impl Fleet {
-    fn new(count: usize, left: impl Fn(usize) -> u32) -> Self {
+    fn new(count: usize, free: impl Fn(usize) -> u32) -> Self {
         let servers: Vec<ServerEntry> = (0..count).map(server).collect();
-        let left = servers.iter().enumerate().map(|(place, s)| (s.key(), left(place))).collect();
-        Self { servers, left }
+        let free = servers.iter().enumerate().map(|(place, s)| (s.key(), free(place))).collect();
+        Self { servers, free }
     }
 
-    /// Searches for a request of domain `a` whose salt is `host`; how many were asked, and whether one
-    /// of them had memory.
+    /// Searches for a request of domain `a` with `host` as its salt. Returns the number of servers tried
+    /// and whether one of them had enough memory.
     fn search(&self, host: u64) -> (usize, bool) {
         let near = NameKey::of(DOMAINS[0]);
         let mut now = TimePoint::from_millis(1000);
@@ -39,13 +41,13 @@
         loop {
             let ranked = self.ranked(now, near, search.remote_penalty(), host);
             match search.next(now, ranked.iter().map(|server| server.key())) {
-                SearchStep::Request(key) if self.left[&key] >= ANSWER => {
+                SearchStep::Request(key) if self.free[&key] >= ANSWER_TOKENS => {
                     return (search.request_count(), true);
                 }
                 SearchStep::Request(key) => {
-                    now = now + EXCHANGE;
-                    let asked = ranked.iter().find(|server| server.key() == key).expect("ranked");
-                    search.record_refusal(asked.domain);
+                    now = now + ROUND_TRIP;
+                    let tried = ranked.iter().find(|server| server.key() == key).expect("ranked");
+                    search.record_refusal(tried.domain);
                 }
                 SearchStep::Pause(pause) => now = now + pause,
                 SearchStep::Refuse => return (search.request_count(), false),
@@ -54,10 +56,10 @@
     }
 
     fn ranked(&self, now: TimePoint, near: NameKey, abroad: f64, salt: u64) -> Vec<&ServerEntry> {
-        let (board, health) = (LoadTable::default(), HashMap::new());
+        let (loads, health) = (LoadTable::default(), HashMap::new());
         let (domains, changes) = (DomainBreakers::default(), StageChanges::default());
         let view = RankingContext {
-            loads: &board,
+            loads: &loads,
             health: &health,
             domains: &domains,
             stage_changes: &changes,
@@ -66,7 +68,7 @@
             remote_penalty: abroad,
             salt,
         };
-        rank_servers(now, &view, RankingCriterion::DecodeMemory(MEMORY), self.servers.iter())
+        rank_servers(now, &view, RankingCriterion::DecodeMemory(MEMORY_TOKENS), self.servers.iter())
     }
 }
 
@@ -84,43 +86,44 @@
     }
 }
 
-/// Pattern: a wave in one failure domain while the others have room. Of 103 requests refused in one
-/// second, 80 were those of one domain; the hosts had asked its own six best servers again and again.
+/// Guards against a search that stays in a full failure domain while the others have free memory. When
+/// hosts kept trying the six best servers of their own domain, 80 of 103 requests refused in one second
+/// came from one domain.
 #[test]
 fn search_leaves_a_full_domain() {
     let fleet = Fleet::new(165, |place| if place % 5 == 0 { 500 } else { 12_000 });
     for host in 0..200 {
-        let (asked, found) = fleet.search(host);
+        let (tried, found) = fleet.search(host);
         assert!(found, "host {host}");
-        assert!(asked <= 8, "{asked} asked");
+        assert!(tried <= 8, "{tried} tried");
     }
 }
 
-/// Pattern: a burst that fills nine of ten servers everywhere. Six best servers, asked twice, find
-/// the tenth one in half of the searches.
+/// A burst fills nine of ten servers in all domains. Guards against a search that tries only the six best
+/// servers, each twice, which finds the tenth server in half of the cases.
 #[test]
-fn search_finds_scattered_room() {
+fn search_finds_scattered_memory() {
     let fleet = Fleet::new(165, |place| if place % 10 == 3 { 9000 } else { 1000 });
     let found = (0..1000).filter(|host| fleet.search(*host).1).count();
     assert!(found >= 800, "{found} of 1000");
 }
 
-/// Pattern: everything is full. The caller hears so soon, and no server is flooded.
+/// All servers are full. The caller is refused soon, and no server is flooded with requests.
 #[rstest]
 #[case::few_servers(5)]
 #[case::hundreds(165)]
-fn search_in_a_full_fleet_ends_soon(#[case] servers: usize) {
+fn search_of_a_full_fleet_ends_soon(#[case] servers: usize) {
     let fleet = Fleet::new(servers, |_| 0);
     for host in 0..100 {
-        let (asked, found) = fleet.search(host);
+        let (tried, found) = fleet.search(host);
         assert!(!found);
-        assert!(asked <= 18, "{asked} asked");
+        assert!(tried <= 18, "{tried} tried");
     }
 }
 
-/// Pattern: few servers, one of which frees memory a moment later.
+/// With few servers, a second round finds memory that is freed a moment later.
 #[test]
-fn search_asks_few_servers_again() {
+fn search_tries_few_servers_again() {
     let keys = [NameKey(1), NameKey(2)];
     let start = TimePoint::from_millis(0);
     let mut search = MemorySearch::new(start, NameKey::of("a"));
@@ -144,16 +147,16 @@
     assert_eq!(search.next(TimePoint::from_millis(0), std::iter::empty()), SearchStep::Refuse);
 }
 
-/// Requests spread evenly over equal servers of the own domain, whatever host they come to.
+/// Requests spread evenly over equal servers of the local domain, whichever host receives them.
 #[test]
-fn equal_servers_shared_out_among_requests() {
-    let fleet = Fleet::new(50, |_| MEMORY);
+fn ranking_spreads_requests_over_equal_servers() {
+    let fleet = Fleet::new(50, |_| MEMORY_TOKENS);
     let near = NameKey::of(DOMAINS[0]);
     let now = TimePoint::from_millis(0);
     let mut chosen: HashMap<ServerKey, usize> = HashMap::new();
     for request in 0..1000 {
         *chosen.entry(fleet.ranked(now, near, 0.3, request)[0].key()).or_default() += 1;
     }
-    assert_eq!(chosen.len(), 10, "all servers of the own domain");
+    assert_eq!(chosen.len(), 10, "all servers of the local domain");
     assert!(chosen.values().all(|requests| (60..=140).contains(requests)), "{chosen:?}");
 }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Focused tests of the placement machines.
+//! Unit tests of the placement state machines.
 
 use rstest::rstest;
 use std::time::Duration;
@@ -23,7 +23,7 @@
     AttemptId { owner: IncarnationId(1), serial }
 }
 
-fn ask(serial: u64, org: &str, tokens: u32, finish_by: TimePoint) -> PrefillRequest {
+fn prefill(serial: u64, org: &str, tokens: u32, finish_by: TimePoint) -> PrefillRequest {
     PrefillRequest {
         attempt: attempt(serial),
         org: NameKey::of(org),
@@ -35,26 +35,26 @@
 }
 
 #[test]
-fn queue_refuses_what_would_be_late() {
+fn queue_refuses_late_prefill() {
     let mut queue = PrefillQueue::new(1000.0);
-    assert!(queue.admit(at(0), ask(1, "a", 900, at(1000))).is_ok());
-    assert_eq!(queue.admit(at(0), ask(2, "a", 200, at(1000))), Err(RefusalReason::TooLate));
-    assert!(queue.admit(at(0), ask(3, "a", 100, at(1000))).is_ok());
+    assert!(queue.admit(at(0), prefill(1, "a", 900, at(1000))).is_ok());
+    assert_eq!(queue.admit(at(0), prefill(2, "a", 200, at(1000))), Err(RefusalReason::TooLate));
+    assert!(queue.admit(at(0), prefill(3, "a", 100, at(1000))).is_ok());
 }
 
 #[test]
-fn queue_refuses_what_would_make_others_late() {
+fn queue_refuses_prefill_that_delays_others() {
     let mut queue = PrefillQueue::new(1000.0);
-    assert!(queue.admit(at(0), ask(1, "a", 500, at(600))).is_ok());
-    assert_eq!(queue.admit(at(0), ask(2, "a", 200, at(400))), Err(RefusalReason::CrowdsOthers));
+    assert!(queue.admit(at(0), prefill(1, "a", 500, at(600))).is_ok());
+    assert_eq!(queue.admit(at(0), prefill(2, "a", 200, at(400))), Err(RefusalReason::CrowdsOthers));
 }
 
 #[test]
-fn queue_starts_by_deadline_and_never_early() {
+fn queue_starts_in_deadline_order_and_never_early() {
     let mut queue = PrefillQueue::new(1000.0);
-    queue.admit(at(0), ask(1, "a", 100, at(1400))).expect("admitted");
-    queue.admit(at(0), ask(2, "a", 100, at(900))).expect("admitted");
-    let delayed = PrefillRequest { not_before: at(500), ..ask(3, "a", 100, at(800)) };
+    queue.admit(at(0), prefill(1, "a", 100, at(1400))).expect("admitted");
+    queue.admit(at(0), prefill(2, "a", 100, at(900))).expect("admitted");
+    let delayed = PrefillRequest { not_before: at(500), ..prefill(3, "a", 100, at(800)) };
     queue.admit(at(0), delayed).expect("admitted");
     let next =
         |queue: &mut PrefillQueue, now| queue.start_next(now).map(|e| e.request.attempt.serial);
@@ -68,31 +68,31 @@
 }
 
 #[test]
-fn queue_gives_up_what_is_late_at_once() {
+fn queue_expires_late_prefill() {
     let mut queue = PrefillQueue::new(1000.0);
-    queue.admit(at(0), ask(1, "a", 100, at(200))).expect("admitted");
+    queue.admit(at(0), prefill(1, "a", 100, at(200))).expect("admitted");
     assert_eq!(queue.expire(at(100), ms(0)), []);
     assert_eq!(queue.expire(at(150), ms(0)), [attempt(1)]);
     assert_eq!(queue.waiting_count(), 0);
 }
 
 #[test]
-fn queue_keeps_room_for_organisations_within_their_share() {
+fn queue_admits_organisations_within_their_share() {
     let mut queue = PrefillQueue::new(1000.0);
     let mut serial = 0;
     let mut admit = |queue: &mut PrefillQueue, org: &str| {
         serial += 1;
-        queue.admit(at(0), ask(serial, org, 50, at(1400))).is_ok()
+        queue.admit(at(0), prefill(serial, org, 50, at(1400))).is_ok()
     };
     admit(&mut queue, "quiet");
     let flood = (0..100).filter(|_| admit(&mut queue, "flood")).count();
     let quiet = (0..100).filter(|_| admit(&mut queue, "quiet")).count();
     assert!(flood >= 10, "{flood}");
-    assert!(quiet >= 2, "the flood left no room: {quiet}");
+    assert!(quiet >= 2, "the flood used up the queue: {quiet}");
 }
 
 #[test]
-fn ledger_forgets() {
+fn ledger_penalty_decays() {
     let mut ledger = ShareLedger::default();
     ledger.record_work(at(0), NameKey::of("a"), ms(4000));
     ledger.record_work(at(0), NameKey::of("b"), ms(100));
@@ -105,48 +105,52 @@
 }
 
 #[test]
-fn slots_are_held_for_the_time_of_the_handoff() {
-    let mut book = SlotTable::new(1, ms(10));
-    book.start(at(0), attempt(1), 100);
-    // Nothing is free now; later one is, and only one.
-    assert_eq!(book.hold(at(0), attempt(2), at(0), at(100), 100), None);
-    let handoff = book.hold(at(0), attempt(2), at(0), at(3000), 100).expect("held later");
+fn slots_held_from_the_handoff_on() {
+    let mut slots = SlotTable::new(1, ms(10));
+    slots.start(at(0), attempt(1), 100);
+    // No slot is free now, and only one is free later.
+    assert_eq!(slots.hold(at(0), attempt(2), at(0), at(100), 100), None);
+    let handoff = slots.hold(at(0), attempt(2), at(0), at(3000), 100).expect("held later");
     assert!(handoff > at(500), "{handoff:?}");
-    assert_eq!(book.hold(at(0), attempt(3), at(0), handoff, 100), None);
-    assert!(book.release(attempt(2), None));
-    assert!(book.hold(at(0), attempt(3), at(0), handoff, 100).is_some());
+    assert_eq!(slots.hold(at(0), attempt(3), at(0), handoff, 100), None);
+    assert!(slots.release(attempt(2), None));
+    assert!(slots.hold(at(0), attempt(3), at(0), handoff, 100).is_some());
 }
 
 #[test]
-fn held_slot_lapses() {
-    let mut book = SlotTable::new(1, ms(10));
-    book.hold(at(0), attempt(1), at(0), at(0), 10).expect("held");
-    assert_eq!(book.expire(at(1000)), []);
-    assert_eq!(book.expire(at(1300)), [attempt(1)]);
+fn slots_hold_expires() {
+    let mut slots = SlotTable::new(1, ms(10));
+    slots.hold(at(0), attempt(1), at(0), at(0), 10).expect("held");
+    assert_eq!(slots.expire(at(1000)), []);
+    assert_eq!(slots.expire(at(1300)), [attempt(1)]);
 }
 
 #[test]
-fn lapsed_hold_does_not_hide_what_the_engine_holds() {
-    let mut book = SlotTable::new(4, ms(10));
-    book.hold(at(0), attempt(1), at(0), at(0), 10).expect("held");
-    assert_eq!(book.reconcile(at(500), at(100), &[attempt(1)]), []);
-    assert_eq!(book.reconcile(at(1300), at(900), &[attempt(1)]), [attempt(1)]);
+fn slots_expired_hold_does_not_hide_a_running_attempt() {
+    let mut slots = SlotTable::new(4, ms(10));
+    slots.hold(at(0), attempt(1), at(0), at(0), 10).expect("held");
+    assert_eq!(slots.reconcile(at(500), at(100), &[attempt(1)]), []);
+    assert_eq!(slots.reconcile(at(1300), at(900), &[attempt(1)]), [attempt(1)]);
 }
 
 #[test]
-fn book_learns_what_the_engine_holds() {
-    let mut book = SlotTable::new(4, ms(10));
-    book.start(at(0), attempt(1), 100);
-    book.start(at(0), attempt(2), 100);
-    let doubtful = book.reconcile(at(500), at(100), &[attempt(2), attempt(9)]);
-    assert_eq!(doubtful, [attempt(9)]);
-    assert_eq!(book.used(), 2, "the one that the engine lost is freed, the stray counts");
-    book.mark_unconfirmed(IncarnationId(1));
-    assert_eq!(book.reconcile(at(600), at(200), &[attempt(2), attempt(9)]).len(), 2);
+fn slots_reconciled_with_the_engine() {
+    let mut slots = SlotTable::new(4, ms(10));
+    slots.start(at(0), attempt(1), 100);
+    slots.start(at(0), attempt(2), 100);
+    let queried = slots.reconcile(at(500), at(100), &[attempt(2), attempt(9)]);
+    assert_eq!(queried, [attempt(9)]);
+    assert_eq!(
+        slots.used(),
+        2,
+        "the slot of the lost attempt is freed and the untracked attempt counts"
+    );
+    slots.mark_unconfirmed(IncarnationId(1));
+    assert_eq!(slots.reconcile(at(600), at(200), &[attempt(2), attempt(9)]).len(), 2);
 }
 
 #[test]
-fn lengths_are_learnt() {
+fn length_model_learns_from_answers() {
     let mut model = LengthModel::default();
     for _ in 0..2000 {
         model.record_used(0.5);
@@ -157,34 +161,34 @@
 }
 
 #[test]
-fn link_is_booked_one_after_the_other() {
-    let mut lane = LinkSchedule::new(1000);
-    assert_eq!(lane.book(attempt(1), at(0), 500), at(500));
-    assert_eq!(lane.book(attempt(2), at(0), 500), at(1000));
-    lane.release(attempt(1));
-    assert_eq!(lane.book(attempt(3), at(100), 400), at(500));
+fn link_transfers_scheduled_one_after_the_other() {
+    let mut link = LinkSchedule::new(1000);
+    assert_eq!(link.reserve(attempt(1), at(0), 500), at(500));
+    assert_eq!(link.reserve(attempt(2), at(0), 500), at(1000));
+    link.release(attempt(1));
+    assert_eq!(link.reserve(attempt(3), at(100), 400), at(500));
 }
 
 #[test]
-fn gate_opens_tries_and_closes() {
-    let mut gate = CircuitBreaker::default();
-    gate.record_failure(at(0));
-    assert!(gate.admits(at(0)));
-    gate.record_failure(at(0));
-    assert!(!gate.admits(at(499)));
-    assert!(gate.admits(at(500)));
-    gate.record_sent(at(500));
-    assert!(!gate.admits(at(501)), "one trial at a time");
-    gate.record_abandoned();
-    assert!(gate.admits(at(502)), "a trial given up lets another pass");
-    gate.record_sent(at(502));
-    assert!(gate.admits(at(4000)), "a trial nobody reports on is forgotten");
-    gate.record_success();
-    assert!(gate.admits(at(503)));
+fn breaker_opens_admits_trials_and_closes() {
+    let mut breaker = CircuitBreaker::default();
+    breaker.record_failure(at(0));
+    assert!(breaker.admits(at(0)));
+    breaker.record_failure(at(0));
+    assert!(!breaker.admits(at(499)));
+    assert!(breaker.admits(at(500)));
+    breaker.record_sent(at(500));
+    assert!(!breaker.admits(at(501)), "only one trial at a time");
+    breaker.record_abandoned();
+    assert!(breaker.admits(at(502)), "after an abandoned trial another one is admitted");
+    breaker.record_sent(at(502));
+    assert!(breaker.admits(at(4000)), "a trial without a result expires");
+    breaker.record_success();
+    assert!(breaker.admits(at(503)));
 }
 
 #[test]
-fn retry_budget_bounds_retries() {
+fn retry_budget_limits_retries() {
     let mut budget = RetryBudget::new(100, 2);
     assert!(budget.try_spend() && budget.try_spend() && !budget.try_spend());
     (0..10).for_each(|_| budget.record_request());
@@ -193,7 +197,7 @@
 }
 
 #[test]
-fn prefix_index_forgets_the_least_recent() {
+fn prefix_index_evicts_least_recently_used() {
     let prompt: Vec<u64> = (0..256).collect();
     let blocks = prefix_blocks(prompt.iter().copied());
     let mut index = PrefixIndex::new(4);
@@ -201,26 +205,26 @@
     assert_eq!(index.cached_tokens(&blocks), 256);
     index.record_stored(&[1, 2]);
     assert_eq!(index.len(), 4);
-    assert_eq!(index.cached_tokens(&blocks), 0, "its first blocks went");
+    assert_eq!(index.cached_tokens(&blocks), 0, "its first blocks were evicted");
 }
 
 #[rstest]
-#[case::one_leaves(&[1, 2, 3], &[1, 2])]
-#[case::one_joins(&[1, 2, 3], &[1, 2, 3, 4])]
-fn rendezvous_moves_only_what_it_must(#[case] before: &[u64], #[case] after: &[u64]) {
-    let owner = |thing: u64, hosts: &[u64]| {
-        rendezvous_owner(thing, hosts.iter().map(|host| (*host, *host))).expect("an owner")
+#[case::host_leaves(&[1, 2, 3], &[1, 2])]
+#[case::host_joins(&[1, 2, 3], &[1, 2, 3, 4])]
+fn rendezvous_moves_only_affected_keys(#[case] before: &[u64], #[case] after: &[u64]) {
+    let owner = |key: u64, hosts: &[u64]| {
+        rendezvous_owner(key, hosts.iter().map(|host| (*host, *host))).expect("an owner")
     };
-    for thing in 0..500 {
-        let (old, new) = (owner(thing, before), owner(thing, after));
-        let gone = !after.contains(&old);
-        let joined = !before.contains(&new);
-        assert!(old == new || gone || joined, "{thing} moved from {old} to {new}");
+    for key in 0..500 {
+        let (old, new) = (owner(key, before), owner(key, after));
+        let has_left = !after.contains(&old);
+        let has_joined = !before.contains(&new);
+        assert!(old == new || has_left || has_joined, "{key} moved from {old} to {new}");
     }
 }
 
 #[test]
-fn policies_have_names() {
+fn policy_names_round_trip() {
     for policy in PlacementPolicy::ALL {
         assert_eq!(policy.name().parse(), Ok(policy));
     }
--- a/tests/stage_orders.rs
+++ b/tests/stage_orders.rs
@@ -1,4 +1,4 @@
-//! Pools that follow the work: what is wanted, when a change is ordered, and who may order.
+//! How the pools follow the load: target sizes, the timing of changes, and which host may issue orders.
 
 use rstest::rstest;
 use std::time::Duration;
@@ -24,13 +24,13 @@
     PoolSizes { prefills, decodes }
 }
 
-/// All of 300 hosts restarted: the oldest of them ordered 315 changes in one second, from reads that had waited
-/// for all the others.
+/// Guards against orders from a host that has just started. After a restart of all 300 hosts, the oldest
+/// one ordered 315 changes in one second, based on reads that had waited for all the others.
 #[rstest]
 #[case::just_started(0, false)]
 #[case::first_requests(7900, false)]
-#[case::before_callers_come_to_a_new_site(8000, true)]
-fn giver_knows_the_work_first(#[case] age_ms: u64, #[case] expected: bool) {
+#[case::old_enough(8000, true)]
+fn may_issue_orders_after_minimum_age(#[case] age_ms: u64, #[case] expected: bool) {
     assert_eq!(may_issue_orders(Duration::from_millis(age_ms)), expected);
 }
 
@@ -40,17 +40,17 @@
 #[case::never_without_decode(sizes(4, 8), work(1.0, 0.001), 10.0)]
 #[case::too_few_servers(sizes(1, 2), work(0.1, 0.1), 1.0)]
 #[case::nothing_measured(sizes(3, 9), work(0.0, 0.0), 3.0)]
-fn wanted_prefills_follow(
+fn target_prefills_follow_the_work(
     #[case] sizes: PoolSizes,
     #[case] work: RequestWork,
     #[case] expected: f64,
 ) {
-    let wanted = target_prefills(sizes, work);
-    assert!((wanted - expected).abs() < 0.01, "{wanted}");
+    let target = target_prefills(sizes, work);
+    assert!((target - expected).abs() < 0.01, "{target}");
 }
 
 #[test]
-fn surplus_given_away_after_its_dwell() {
+fn planner_moves_surplus_after_its_dwell() {
     let mut planner = StagePlanner::default();
     let work = work(0.1, 0.25);
     assert_eq!(planner.decide(at(0), sizes(6, 6), work), None);
@@ -59,18 +59,22 @@
 }
 
 #[test]
-fn crashed_prefill_servers_may_return_first() {
+fn planner_waits_for_crashed_prefill_servers() {
     let mut planner = StagePlanner::default();
     let work = work(0.1, 0.25);
     assert_eq!(planner.decide(at(0), sizes(2, 8), work), None);
     assert_eq!(planner.decide(at(4000), sizes(2, 8), work), None);
     assert_eq!(planner.decide(at(4100), sizes(4, 8), work), None);
-    assert_eq!(planner.decide(at(4600), sizes(2, 8), work), None, "a lack that begins again");
+    assert_eq!(
+        planner.decide(at(4600), sizes(2, 8), work),
+        None,
+        "a new deficit starts a new dwell time"
+    );
     assert_eq!(planner.decide(at(9200), sizes(2, 8), work), Some(ServerStage::Prefill));
 }
 
 #[test]
-fn change_rests_before_the_next() {
+fn planner_pauses_between_changes() {
     let mut planner = StagePlanner::default();
     let work = work(0.1, 0.25);
     planner.record_attempt(at(0));
@@ -79,11 +83,12 @@
     assert_eq!(planner.decide(at(3100), sizes(6, 6), work), Some(ServerStage::Decode));
 }
 
-/// Bench: panelbridge-kr scale-1 went from 0.55 to 0.40 when the third of four was given away and
-/// a scale-in took another; now decode servers read prompts until the pool is mended
-/// (`late_prompt_left_to_its_decode_server`).
+/// A surplus changes to decoding even if a scale-in may remove another prefill server. When the third of
+/// four prefill servers was given up and a scale-in took another, the score fell from 0.55 to
+/// 0.40. Decode servers now read prompts until the pool is restored
+/// (`reader_is_decode_server_for_late_prompt`).
 #[test]
-fn surplus_given_away_down_to_what_the_work_needs() {
+fn planner_moves_surplus_down_to_the_target() {
     let mut planner = StagePlanner::default();
     let work = work(0.095, 0.307);
     assert_eq!(planner.decide(at(0), sizes(4, 7), work), None);
@@ -92,21 +97,27 @@
     for second in 2..30 {
         assert_eq!(planner.decide(at(second * 1000), sizes(3, 8), work), None);
     }
-    // The scale-in of that day: two are left, and one is taken back after the dwell.
+    // After the scale-in, two prefill servers are left; with one left, one changes back after the dwell
+    // time.
     assert_eq!(planner.decide(at(30_000), sizes(2, 7), work), None);
-    assert_eq!(planner.decide(at(34_600), sizes(2, 7), work), None, "2 of 9 still suffice");
+    assert_eq!(
+        planner.decide(at(34_600), sizes(2, 7), work),
+        None,
+        "two of nine servers are still enough"
+    );
     assert_eq!(planner.decide(at(35_000), sizes(1, 7), work), None);
     assert_eq!(planner.decide(at(39_600), sizes(1, 7), work), Some(ServerStage::Prefill));
 }
 
-/// Bench: halvorsen-book-grown moved one of 60 servers each 3.5 s and needed 40 s for seven.
+/// Guards against slow changes in large pools: at one of 60 servers every 3.5 s, seven changes would take
+/// 40 s.
 #[rstest]
 #[case::small_site(sizes(5, 7), 1)]
 #[case::large_surplus(sizes(21, 39), 5)]
 #[case::larger_surplus(sizes(30, 30), 9)]
-#[case::large_lack(sizes(6, 54), 4)]
-#[case::nearly_right(sizes(18, 42), 2)]
-fn larger_steps_among_many_servers(#[case] sizes: PoolSizes, #[case] expected: usize) {
+#[case::large_deficit(sizes(6, 54), 4)]
+#[case::nearly_balanced(sizes(18, 42), 2)]
+fn batch_size_grows_with_the_pools(#[case] sizes: PoolSizes, #[case] expected: usize) {
     assert_eq!(change_batch_size(sizes, work(0.104, 0.339)), expected);
 }
 
@@ -115,7 +126,7 @@
 #[case::in_time(Some(490), PromptReader::Prefill)]
 #[case::late(Some(500), PromptReader::Decode)]
 #[case::no_prefill_server(None, PromptReader::Decode)]
-fn late_prompt_left_to_its_decode_server(
+fn reader_is_decode_server_for_late_prompt(
     #[case] wait_ms: Option<u64>,
     #[case] expected: PromptReader,
 ) {
@@ -124,7 +135,7 @@
 }
 
 #[test]
-fn whole_server_lacking_taken_back() {
+fn planner_corrects_deficit_of_a_whole_server() {
     let mut planner = StagePlanner::default();
     let work = work(0.16, 0.33);
     assert_eq!(planner.decide(at(0), sizes(2, 7), work), None);
@@ -132,10 +143,10 @@
     assert_eq!(planner.decide(at(4600), sizes(2, 7), work), Some(ServerStage::Prefill));
 }
 
-/// A burst makes reads look dearer for some seconds; a decode server that changes for it is missed
-/// by the next burst.
+/// A burst makes reads look more expensive for some seconds. A decode server that changes because of it
+/// would be missing in the next burst.
 #[test]
-fn lack_of_part_of_a_server_left_to_decode_servers() {
+fn planner_ignores_deficit_of_a_partial_server() {
     let mut planner = StagePlanner::default();
     for second in 0..30 {
         let decided = planner.decide(at(second * 1000), sizes(2, 7), work(0.12, 0.33));
@@ -144,7 +155,7 @@
 }
 
 #[test]
-fn small_difference_left_alone() {
+fn planner_ignores_small_difference() {
     let mut planner = StagePlanner::default();
     for second in 0..30 {
         let decided = planner.decide(at(second * 1000), sizes(4, 8), work(0.1, 0.25));
@@ -168,9 +179,9 @@
 }
 
 #[rstest]
-#[case::without_effect(18_900, true)]
-#[case::too_old(19_100, false)]
-fn change_orders_forgotten_when_late(#[case] millis: u64, #[case] kept: bool) {
+#[case::not_expired(18_900, true)]
+#[case::expired(19_100, false)]
+fn change_orders_expire(#[case] millis: u64, #[case] kept: bool) {
     let key = ServerKey::of("i-1");
     let mut orders = ChangeOrders::default();
     orders.record_ordered(at(0), key, ServerStage::Decode, CHANGE_TIME);
@@ -179,7 +190,7 @@
 }
 
 #[test]
-fn change_orders_of_a_server_that_left_forgotten() {
+fn change_orders_dropped_with_the_server() {
     let key = ServerKey::of("i-1");
     let mut orders = ChangeOrders::default();
     orders.record_ordered(at(0), key, ServerStage::Decode, CHANGE_TIME);
@@ -188,19 +199,19 @@
 }
 
 #[test]
-fn change_orders_leave_failed_servers_for_a_while() {
+fn change_orders_exclude_failed_server_for_a_while() {
     let key = ServerKey::of("i-1");
     let mut orders = ChangeOrders::default();
     orders.record_failed(at(0), key);
     orders.expire(at(9900), |_| Some(Some(ServerStage::Prefill)));
     assert!(orders.is_excluded(key));
-    assert_eq!(orders.target_stage(key), None, "it does not count for the other pool");
+    assert_eq!(orders.target_stage(key), None, "it does not count towards the other pool");
     orders.expire(at(10_100), |_| Some(Some(ServerStage::Prefill)));
     assert!(!orders.is_excluded(key));
 }
 
 #[test]
-fn change_orders_drop_what_the_engine_refused() {
+fn change_orders_drop_refused_order() {
     let key = ServerKey::of("i-1");
     let mut orders = ChangeOrders::default();
     orders.record_ordered(at(0), key, ServerStage::Decode, CHANGE_TIME);
@@ -209,16 +220,16 @@
 }
 
 #[test]
-fn first_holder_orders_at_once_and_not_for_long() {
+fn lease_first_holder_orders_immediately_for_a_limited_time() {
     let mut lease = OrderLease::default();
     let record = OrderLease::next_record(None, "a");
     lease.record_write(at(0), at(10), None, &record, LEASE);
     assert_eq!(lease.fence(at(500)), Some(1));
-    assert_eq!(lease.fence(at(1100)), None, "counted from when the write was sent");
+    assert_eq!(lease.fence(at(1100)), None, "the validity starts when the write is sent");
 }
 
 #[test]
-fn takeover_waits_for_the_last_holder() {
+fn lease_takeover_waits_for_the_last_holder() {
     let mut lease = OrderLease::default();
     let held = LeaseRecord { holder: "a".to_owned(), fence: 7 };
     let record = OrderLease::next_record(Some(&held), "b");
@@ -226,15 +237,15 @@
     lease.record_write(at(0), at(10), Some(&held), &record, LEASE);
     assert_eq!(lease.fence(at(20)), None);
     assert!(lease.is_waiting(at(4400)));
-    assert!(!lease.is_waiting(at(4600)), "1 s of orders, the lease, and a margin have passed");
+    assert!(!lease.is_waiting(at(4600)), "1 s of validity, the lease and the margin have passed");
     let next = OrderLease::next_record(Some(&record), "b");
     lease.record_write(at(4600), at(4610), Some(&record), &next, LEASE);
     assert_eq!(lease.fence(at(4700)), Some(9));
 }
 
-/// A second takeover in between: the wait begins anew for who comes back.
+/// After another host has taken over in between, a returning holder has to wait as well.
 #[test]
-fn former_holder_that_returns_waits_too() {
+fn lease_returning_holder_waits() {
     let mut lease = OrderLease::default();
     let first = OrderLease::next_record(None, "a");
     lease.record_write(at(0), at(10), None, &first, LEASE);
@@ -244,8 +255,9 @@
     assert_eq!(lease.fence(at(920)), None);
 }
 
-/// Pattern: the giver of orders ends while a quarter of the servers change. Its successor planned the
-/// same changes again, asked each engine, and ordered nothing else for twelve seconds.
+/// The host that issues orders stops while a quarter of the servers are changing. Guards against a
+/// successor that plans the same changes again, queries each engine, and orders nothing else for twelve
+/// seconds.
 #[test]
 fn successor_counts_changes_that_it_heard_of() {
     let mut changes = StageChanges::default();
@@ -253,7 +265,7 @@
     for server in &servers {
         changes.record_announcement(at(0), *server, ServerStage::Decode);
     }
-    // The death of the giver is noticed within 3 s, after which nobody repeats its news.
+    // The failure of the host is detected within 3 s, after which no host repeats its announcements.
     let mut orders = ChangeOrders::default();
     for (server, to) in changes.announced(at(3000)) {
         orders.record_ordered(at(3000), server, to, Duration::from_secs(6));
@@ -263,8 +275,8 @@
     assert_eq!(changes.announced(at(7100)).count(), 0);
 }
 
-/// Pattern: a fleet of thousands of engines that a few hundred requests a second nearly leave idle. Nobody waits in either
-/// pool, so neither gets a server of the other one; a pool that fills up does.
+/// A fleet of thousands of engines is almost idle at a few hundred requests a second. No request waits in
+/// either pool, so neither receives a server from the other one, whereas a pool that fills up does.
 #[rstest]
 #[case::idle_fleet(ServerStage::Decode, sizes(3_368, 6_255), 140.0, true)]
 #[case::idle_fleet_of_twice_the_size(ServerStage::Decode, sizes(6_736, 12_510), 280.0, true)]
@@ -272,7 +284,7 @@
 #[case::no_prefills(ServerStage::Prefill, sizes(0, 9_623), 140.0, false)]
 #[case::usual_load(ServerStage::Decode, sizes(4, 8), 12.0, false)]
 #[case::burst_on_a_small_fleet(ServerStage::Prefill, sizes(2, 10), 12.0, false)]
-fn pool_with_room_is_left_alone(
+fn spare_capacity_by_pool_utilisation(
     #[case] stage: ServerStage,
     #[case] sizes: PoolSizes,
     #[case] per_second: f64,
