--- a/tests/crash_copies.rs
+++ b/tests/crash_copies.rs
@@ -1,4 +1,4 @@
-//! The copy of crashes in the store: its age and its form.
+//! The copy of crashes in the store: ages of its records and validation of its format.
 
 use rstest::rstest;
 use serde_json::json;
@@ -10,15 +10,15 @@
 const CRASHER: RequestKey = RequestKey(u64::MAX);
 
 #[rstest]
-#[case::clock_goes_on(4, 4000)]
-#[case::clock_put_back(-3, 0)]
-fn copy_read_with_its_age(#[case] later_s: i64, #[case] age_ms: u32) {
+#[case::clock_advanced(4, 4000)]
+#[case::clock_set_back(-3, 0)]
+fn crash_copy_decoded_with_its_age(#[case] later_s: i64, #[case] age_ms: u32) {
     let written = UNIX_EPOCH + Duration::from_secs(1_800_000_000);
     let read = UNIX_EPOCH + Duration::from_secs((1_800_000_000 + later_s) as u64);
-    let news =
+    let update =
         CrashUpdate { server: NameKey(1), age_ms: 0, idle_ms: 0, requests: vec![CRASHER.into()] };
-    let copy = encode_crashes(std::slice::from_ref(&news), written);
-    let expected = CrashUpdate { age_ms, idle_ms: age_ms, ..news };
+    let copy = encode_crashes(std::slice::from_ref(&update), written);
+    let expected = CrashUpdate { age_ms, idle_ms: age_ms, ..update };
     assert_eq!(decode_crashes(&copy, read).expect("crashes"), [expected]);
 }
 
@@ -27,6 +27,6 @@
 #[case::other_type(json!({"crashes": [{"server": 7}]}))]
 #[case::no_key(json!({"crashes":
     [{"server": "xyz", "at_ms": 0, "idle_since_ms": 0, "requests": []}]}))]
-fn copy_of_another_form_refused(#[case] spec: serde_json::Value) {
+fn crash_copy_malformed_rejected(#[case] spec: serde_json::Value) {
     assert!(decode_crashes(&spec, SystemTime::now()).is_err());
 }
--- a/tests/crash_crowds.rs
+++ b/tests/crash_crowds.rs
@@ -1,5 +1,5 @@
-//! Contents that many callers ask for at once, few servers, and requests that crash these within moments of each other: every
-//! server that crashes had copies of the innocent contents, however few of the crashes these caused (none).
+//! Simulates contents that many callers request at the same time, on few servers, beside requests that crash these
+//! servers in quick succession. Every server that crashes has copies of the innocent contents, which cause no crash.
 
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
@@ -12,27 +12,26 @@
 const STEP_MS: u64 = 5;
 const LENGTH_MS: u64 = 8_000;
 const HOSTS: usize = 6;
-/// Servers to which one request is sent at most, each after the last one crashed.
+/// Maximum number of servers to which one request is sent, each after the previous one crashed.
 const ATTEMPTS: u32 = 2;
-const NEWS_PERIOD_MS: u64 = 100;
-const NEWS_LOST: f64 = 0.2;
-/// A server that broke off is asked for after this, and has crashed if it refuses.
-const ASKED_AFTER_MS: u64 = 30;
-/// As the hosts' bound: sends this long after a third crash are late.
-const CONTACT_MS: u64 = 3000;
-const MOST_LATE: usize = 3;
-/// Keys of crashing requests lie above all others.
+const UPDATE_PERIOD_MS: u64 = 100;
+const UPDATE_LOSS: f64 = 0.2;
+/// Delay after which a server that broke off is probed; it has crashed if it refuses the connection.
+const PROBE_DELAY_MS: u64 = 30;
+/// As in the bound that hosts keep: sends this long after a third crash are late.
+const LATE_AFTER_MS: u64 = 3000;
+const MAX_LATE: usize = 3;
+/// Keys of crashing requests are at least this.
 const CRASHING: u64 = 1 << 60;
 
-/// What is asked of the world.
 #[derive(Debug, Clone, Copy)]
 struct CrowdPlan {
     servers: usize,
-    /// Contents of innocent requests, how many of these come a second, and how long one runs.
+    /// Number of contents of innocent requests, their rate per second, and how long one runs.
     contents: u64,
     innocent_rate: f64,
     run_ms: (u64, u64),
-    /// Crashing requests, how many of these come a second, and how long one runs before its server crashes.
+    /// Number of crashing requests, their rate per second, and how long one runs before its server crashes.
     crashers: u64,
     crasher_rate: f64,
     crash_ms: (u64, u64),
@@ -52,35 +51,34 @@
 
 #[derive(Debug, Default)]
 struct Server {
-    life: u64,
-    back_ms: u64,
+    starts: u64,
+    up_at_ms: u64,
 }
 
-/// A break-off whose server is yet to be asked for.
+/// A lost connection whose server is still to be probed.
 #[derive(Debug)]
-struct Doubt {
+struct PendingProbe {
     due_ms: u64,
-    broke_ms: u64,
-    life: ServerKey,
+    lost_ms: u64,
+    server_key: ServerKey,
     run: Run,
 }
 
-/// A request that waits until it is known who else was at its crashes.
+/// A request that waits until the other requests in flight at its crashes are known.
 #[derive(Debug)]
-struct Wait {
+struct WaitingRequest {
     request: RequestKey,
     host: usize,
     attempts: u32,
     began_ms: u64,
 }
 
-/// How it went.
 #[derive(Debug, Default)]
 struct CrowdReport {
     crashes: usize,
     innocents: usize,
     innocents_held: usize,
-    /// Sends of each crashing request that came late.
+    /// Number of late sends of each crashing request.
     late: HashMap<RequestKey, usize>,
 }
 
@@ -88,13 +86,13 @@
     plan: CrowdPlan,
     random: StdRng,
     now_ms: u64,
-    books: Vec<CrashTracker>,
+    trackers: Vec<CrashTracker>,
     servers: Vec<Server>,
     runs: Vec<Run>,
-    doubts: Vec<Doubt>,
-    waits: Vec<Wait>,
-    /// Crashes of each crashing request, and when the third one was.
-    ended: HashMap<RequestKey, (usize, u64)>,
+    probes: Vec<PendingProbe>,
+    waits: Vec<WaitingRequest>,
+    /// Number of crashes by each crashing request, and the time of the third one.
+    crash_counts: HashMap<RequestKey, (usize, u64)>,
     report: CrowdReport,
 }
 
@@ -108,12 +106,12 @@
             plan,
             random: StdRng::seed_from_u64(seed),
             now_ms: 0,
-            books: vec![CrashTracker::default(); HOSTS],
+            trackers: vec![CrashTracker::default(); HOSTS],
             servers: (0..plan.servers).map(|_| Server::default()).collect(),
             runs: Vec::new(),
-            doubts: Vec::new(),
+            probes: Vec::new(),
             waits: Vec::new(),
-            ended: HashMap::new(),
+            crash_counts: HashMap::new(),
             report: CrowdReport::default(),
         }
     }
@@ -122,17 +120,17 @@
         while self.now_ms < LENGTH_MS {
             self.now_ms += STEP_MS;
             self.end_runs();
-            self.settle();
+            self.end_probes();
             self.end_waits();
-            self.arrive();
-            if self.now_ms.is_multiple_of(NEWS_PERIOD_MS) {
-                self.spread();
+            self.send_new();
+            if self.now_ms.is_multiple_of(UPDATE_PERIOD_MS) {
+                self.exchange_updates();
             }
         }
         self.report
     }
 
-    fn arrive(&mut self) {
+    fn send_new(&mut self) {
         let step = STEP_MS as f64 / 1000.0;
         let CrowdPlan { contents, innocent_rate, crashers, crasher_rate, .. } = self.plan;
         if self.random.random_bool(innocent_rate * step) {
@@ -148,16 +146,16 @@
 
     fn send_first(&mut self, request: RequestKey) {
         let host = self.random.random_range(0..HOSTS);
-        self.consider(Wait { request, host, attempts: 0, began_ms: self.now_ms });
+        self.admit(WaitingRequest { request, host, attempts: 0, began_ms: self.now_ms });
     }
 
-    /// Sends a request on, refuses it, or lets it wait.
-    fn consider(&mut self, wait: Wait) {
-        let Wait { request, host, attempts, began_ms } = wait;
+    /// Forwards a request, refuses it, or lets it wait.
+    fn admit(&mut self, wait: WaitingRequest) {
+        let WaitingRequest { request, host, attempts, began_ms } = wait;
         if attempts >= ATTEMPTS {
             return;
         }
-        match self.books[host].verdict(request) {
+        match self.trackers[host].verdict(request) {
             RequestVerdict::Free => self.send(request, host, attempts),
             RequestVerdict::Unsettled { .. }
                 if at(self.now_ms).since(at(began_ms)) < SETTLE_TIME =>
@@ -166,7 +164,7 @@
             }
             RequestVerdict::Unsettled { .. } => self.send(request, host, attempts),
             RequestVerdict::Held => {
-                self.books[host].record_return(at(self.now_ms), request);
+                self.trackers[host].record_return(at(self.now_ms), request);
                 self.report.innocents_held += usize::from(request.0 < CRASHING && attempts == 0);
             }
         }
@@ -174,18 +172,18 @@
 
     fn end_waits(&mut self) {
         for wait in std::mem::take(&mut self.waits) {
-            self.consider(wait);
+            self.admit(wait);
         }
     }
 
     fn send(&mut self, request: RequestKey, host: usize, attempts: u32) {
         let up: Vec<usize> = (0..self.plan.servers)
-            .filter(|place| self.servers[*place].back_ms <= self.now_ms)
+            .filter(|index| self.servers[*index].up_at_ms <= self.now_ms)
             .collect();
         let Some(server) = up.choose(&mut self.random).copied() else { return };
         let is_crashing = request.0 >= CRASHING;
-        let third = self.ended.get(&request).filter(|(count, _)| *count >= 3);
-        if third.is_some_and(|(_, at)| self.now_ms > at + CONTACT_MS) {
+        let third = self.crash_counts.get(&request).filter(|(count, _)| *count >= 3);
+        if third.is_some_and(|(_, at)| self.now_ms > at + LATE_AFTER_MS) {
             *self.report.late.entry(request).or_default() += 1;
         }
         let (least, most) = if is_crashing { self.plan.crash_ms } else { self.plan.run_ms };
@@ -202,72 +200,72 @@
         for run in due {
             if run.request.0 >= CRASHING {
                 self.crash(run);
-            } else if self.servers[run.server].back_ms <= now_ms {
-                self.books[run.host].record_served(at(now_ms), run.request);
+            } else if self.servers[run.server].up_at_ms <= now_ms {
+                self.trackers[run.host].record_served(at(now_ms), run.request);
             }
         }
     }
 
     fn crash(&mut self, cause: Run) {
-        if self.servers[cause.server].back_ms > self.now_ms {
+        if self.servers[cause.server].up_at_ms > self.now_ms {
             return;
         }
-        let place = cause.server;
-        let known = self.ended.entry(cause.request).or_default();
+        let index = cause.server;
+        let known = self.crash_counts.entry(cause.request).or_default();
         known.0 += 1;
         if known.0 == 3 {
             known.1 = self.now_ms;
         }
         self.report.crashes += 1;
-        let life = ServerKey::from(NameKey(self.servers[place].life * 100 + place as u64));
+        let server_key = ServerKey::from(NameKey(self.servers[index].starts * 100 + index as u64));
         let (mut lost, rest): (Vec<Run>, Vec<Run>) =
-            self.runs.drain(..).partition(|run| run.server == place);
+            self.runs.drain(..).partition(|run| run.server == index);
         self.runs = rest;
         lost.push(cause);
         let (least, most) = self.plan.down_ms;
-        let back = self.random.random_range(least..most);
-        self.servers[place] =
-            Server { life: self.servers[place].life + 1, back_ms: self.now_ms + back };
-        let broke_ms = self.now_ms;
+        let down = self.random.random_range(least..most);
+        self.servers[index] =
+            Server { starts: self.servers[index].starts + 1, up_at_ms: self.now_ms + down };
+        let lost_ms = self.now_ms;
         for run in &lost {
-            let due_ms = broke_ms + ASKED_AFTER_MS;
-            self.doubts.push(Doubt { due_ms, broke_ms, life, run: run.clone() });
+            let due_ms = lost_ms + PROBE_DELAY_MS;
+            self.probes.push(PendingProbe { due_ms, lost_ms, server_key, run: run.clone() });
         }
         for run in lost {
             let Run { request, host, attempts, .. } = run;
-            self.consider(Wait { request, host, attempts, began_ms: self.now_ms });
+            self.admit(WaitingRequest { request, host, attempts, began_ms: self.now_ms });
         }
     }
 
-    fn settle(&mut self) {
+    fn end_probes(&mut self) {
         let now_ms = self.now_ms;
-        let (due, rest): (Vec<Doubt>, Vec<Doubt>) =
-            self.doubts.drain(..).partition(|doubt| doubt.due_ms <= now_ms);
-        self.doubts = rest;
-        for Doubt { life, run, broke_ms, .. } in due {
+        let (due, rest): (Vec<PendingProbe>, Vec<PendingProbe>) =
+            self.probes.drain(..).partition(|probe| probe.due_ms <= now_ms);
+        self.probes = rest;
+        for PendingProbe { server_key, run, lost_ms, .. } in due {
             let Run { request, host, began_ms, .. } = run;
-            let broken = ConnectionLoss { request, sent_at: at(began_ms), lost_at: at(broke_ms) };
-            self.books[host].record_loss(at(now_ms), life, &broken);
+            let loss = ConnectionLoss { request, sent_at: at(began_ms), lost_at: at(lost_ms) };
+            self.trackers[host].record_loss(at(now_ms), server_key, &loss);
         }
     }
 
-    fn spread(&mut self) {
+    fn exchange_updates(&mut self) {
         let now = at(self.now_ms);
         for from in 0..HOSTS {
-            let report = self.books[from].unsent(now);
+            let report = self.trackers[from].unsent(now);
             if report.is_empty() {
                 continue;
             }
             for to in (0..HOSTS).filter(|to| *to != from) {
-                if !self.random.random_bool(NEWS_LOST) {
-                    self.books[to].merge(now, &report);
+                if !self.random.random_bool(UPDATE_LOSS) {
+                    self.trackers[to].merge(now, &report);
                 }
             }
         }
     }
 }
 
-/// Three servers that one of two crashing requests reaches each 0.4 s; two contents that are asked for 90 times a second.
+/// Three servers, one of two crashing requests each 0.4 s, and two contents that are requested 90 times a second.
 const FEW_SERVERS: CrowdPlan = CrowdPlan {
     servers: 3,
     contents: 2,
@@ -278,7 +276,7 @@
     crash_ms: (20, 25),
     down_ms: (300, 2500),
 };
-/// More servers, longer runs and further contents; a crash each second.
+/// More servers, longer runs and more contents, with one crash each second.
 const MORE_SERVERS: CrowdPlan = CrowdPlan {
     servers: 9,
     contents: 6,
@@ -289,15 +287,15 @@
     ..FEW_SERVERS
 };
 
-/// Guards against refusals of contents that had copies at every server which crashed, whoever caused it.
+/// Guards against refusals of innocent contents that had copies on every server that crashed.
 #[rstest]
 #[case::few_servers(FEW_SERVERS)]
 #[case::more_servers(MORE_SERVERS)]
-fn crowds_not_held_for_crashes_of_others(#[case] plan: CrowdPlan) {
+fn popular_contents_not_held_for_crashes_of_others(#[case] plan: CrowdPlan) {
     for seed in 0..100 {
         let report = World::new(plan, seed).run();
-        let most_late = report.late.values().copied().max().unwrap_or_default();
-        assert!(most_late <= MOST_LATE, "seed {seed}: {report:?}");
+        let max_late = report.late.values().copied().max().unwrap_or_default();
+        assert!(max_late <= MAX_LATE, "seed {seed}: {report:?}");
         assert!(report.crashes >= 3 && report.innocents > 300, "seed {seed}: {report:?}");
         assert_eq!(report.innocents_held, 0, "seed {seed}: {report:?}");
     }
--- a/tests/crash_world.rs
+++ b/tests/crash_world.rs
@@ -1,5 +1,5 @@
-//! Hosts that share what they know of crashes over lossy news, servers that crash under some requests, and many
-//! requests that merely shared a server with those: how many of these are held back, and how soon the others.
+//! Simulates hosts that exchange crash updates over a lossy network, servers that some requests crash, and many innocent
+//! requests that only share a server with those. Crashing requests must be held back soon, and few innocent ones ever.
 
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
@@ -13,33 +13,33 @@
 const LENGTH_MS: u64 = 24_000;
 const HOSTS: usize = 6;
 const SERVERS: usize = 21;
-/// Innocent requests a second, and how long they run.
+/// Innocent requests per second, and the longest time that one runs.
 const INNOCENT_RATE: f64 = 120.0;
 const LONGEST_RUN_MS: u64 = 900;
-/// Servers to which one request is sent at most, each after the last one crashed.
+/// Maximum number of servers to which one request is sent, each after the previous one crashed.
 const ATTEMPTS: u32 = 3;
-const NEWS_PERIOD_MS: u64 = 100;
-const NEWS_LOST: f64 = 0.2;
-/// As the hosts' bound: sends this long after a third crash are late.
-const CONTACT_MS: u64 = 3000;
-const MOST_LATE: usize = 3;
-/// Seconds between two returns of one of the lasting crashing requests, and of a new one.
+const UPDATE_PERIOD_MS: u64 = 100;
+const UPDATE_LOSS: f64 = 0.2;
+/// As in the bound that hosts keep: sends this long after a third crash are late.
+const LATE_AFTER_MS: u64 = 3000;
+const MAX_LATE: usize = 3;
+/// Mean seconds between two returns of a permanent crashing request, and of a new one.
 const CRASHER_PAUSE: f64 = 1.5;
 const NEW_PAUSE: f64 = 1.2;
-/// How long a new one comes again, and where their numbers begin.
+/// How long a new crashing request returns, and the first number of such requests.
 const RETURNS_MS: u64 = 6000;
 const FIRST_NEW: u64 = 1000;
-/// Keys of crashing requests lie above all others.
+/// Keys of crashing requests are at least this.
 const CRASHING: u64 = 1 << 60;
 
-/// What is asked of the world.
+/// Parameters of the simulation.
 #[derive(Debug, Clone, Copy)]
 struct WorldPlan {
-    /// Crashing requests that come again and again.
+    /// Number of crashing requests that return for the whole run.
     crashers: u64,
-    /// A new one comes this often besides, and again as often as the others.
+    /// Interval at which new crashing requests appear, which return for a while.
     flood_ms: Option<u64>,
-    /// Contents of innocent requests; each is new without.
+    /// Number of contents of innocent requests; without it, each request is different.
     contents: Option<u64>,
 }
 
@@ -54,17 +54,17 @@
 
 #[derive(Debug, Default)]
 struct Server {
-    life: u64,
-    back_ms: u64,
+    starts: u64,
+    up_at_ms: u64,
 }
 
-/// How it went.
+/// Results of one run.
 #[derive(Debug, Default)]
 struct WorldReport {
     crashes: usize,
     innocents: usize,
     innocents_held: usize,
-    /// Sends of each crashing request that came late.
+    /// Number of late sends of each crashing request.
     late: HashMap<RequestKey, usize>,
 }
 
@@ -72,13 +72,13 @@
     plan: WorldPlan,
     random: StdRng,
     now_ms: u64,
-    books: Vec<CrashTracker>,
+    trackers: Vec<CrashTracker>,
     servers: Vec<Server>,
     runs: Vec<Run>,
     serial: u64,
     crashers: Vec<u64>,
-    /// Crashes of each crashing request, and when the third one was.
-    ended: HashMap<RequestKey, (usize, u64)>,
+    /// Number of crashes by each crashing request, and the time of the third one.
+    crash_counts: HashMap<RequestKey, (usize, u64)>,
     report: WorldReport,
 }
 
@@ -88,12 +88,12 @@
             plan,
             random: StdRng::seed_from_u64(seed),
             now_ms: 0,
-            books: vec![CrashTracker::default(); HOSTS],
+            trackers: vec![CrashTracker::default(); HOSTS],
             servers: (0..SERVERS).map(|_| Server::default()).collect(),
             runs: Vec::new(),
             serial: 0,
             crashers: (0..plan.crashers).collect(),
-            ended: HashMap::new(),
+            crash_counts: HashMap::new(),
             report: WorldReport::default(),
         }
     }
@@ -106,15 +106,15 @@
         while self.now_ms < LENGTH_MS {
             self.now_ms += STEP_MS;
             self.end_runs();
-            self.arrive();
-            if self.now_ms.is_multiple_of(NEWS_PERIOD_MS) {
-                self.spread();
+            self.send_new();
+            if self.now_ms.is_multiple_of(UPDATE_PERIOD_MS) {
+                self.exchange_updates();
             }
         }
         self.report
     }
 
-    fn arrive(&mut self) {
+    fn send_new(&mut self) {
         if self.plan.flood_ms.is_some_and(|period| self.now_ms.is_multiple_of(period)) {
             self.crashers.push(FIRST_NEW + self.now_ms);
         }
@@ -140,9 +140,9 @@
 
     fn send_first(&mut self, request: RequestKey) {
         let host = self.random.random_range(0..HOSTS);
-        if self.books[host].is_held(request) {
+        if self.trackers[host].is_held(request) {
             let now = self.now();
-            self.books[host].record_return(now, request);
+            self.trackers[host].record_return(now, request);
             self.report.innocents_held += usize::from(request.0 < CRASHING);
             return;
         }
@@ -150,15 +150,15 @@
     }
 
     fn send(&mut self, request: RequestKey, host: usize, attempts: u32) {
-        if attempts >= ATTEMPTS || self.books[host].is_held(request) {
+        if attempts >= ATTEMPTS || self.trackers[host].is_held(request) {
             return;
         }
         let up: Vec<usize> =
-            (0..SERVERS).filter(|place| self.servers[*place].back_ms <= self.now_ms).collect();
+            (0..SERVERS).filter(|index| self.servers[*index].up_at_ms <= self.now_ms).collect();
         let Some(server) = up.choose(&mut self.random).copied() else { return };
         let is_crashing = request.0 >= CRASHING;
-        let third = self.ended.get(&request).filter(|(count, _)| *count >= 3);
-        if third.is_some_and(|(_, at)| self.now_ms > at + CONTACT_MS) {
+        let third = self.crash_counts.get(&request).filter(|(count, _)| *count >= 3);
+        if third.is_some_and(|(_, at)| self.now_ms > at + LATE_AFTER_MS) {
             *self.report.late.entry(request).or_default() += 1;
         }
         let longest = if is_crashing { 300 } else { LONGEST_RUN_MS };
@@ -175,79 +175,79 @@
         for run in due {
             if run.request.0 >= CRASHING {
                 self.crash(run);
-            } else if self.servers[run.server].back_ms <= now_ms {
+            } else if self.servers[run.server].up_at_ms <= now_ms {
                 let now = self.now();
-                self.books[run.host].record_served(now, run.request);
+                self.trackers[run.host].record_served(now, run.request);
             }
         }
     }
 
     fn crash(&mut self, cause: Run) {
-        if self.servers[cause.server].back_ms > self.now_ms {
+        if self.servers[cause.server].up_at_ms > self.now_ms {
             return;
         }
-        let (place, now) = (cause.server, self.now());
-        let known = self.ended.entry(cause.request).or_default();
+        let (index, now) = (cause.server, self.now());
+        let known = self.crash_counts.entry(cause.request).or_default();
         known.0 += 1;
         if known.0 == 3 {
             known.1 = self.now_ms;
         }
         self.report.crashes += 1;
-        let life = ServerKey::from(NameKey(self.servers[place].life * 100 + place as u64));
+        let server_key = ServerKey::from(NameKey(self.servers[index].starts * 100 + index as u64));
         let (mut lost, rest): (Vec<Run>, Vec<Run>) =
-            self.runs.drain(..).partition(|run| run.server == place);
+            self.runs.drain(..).partition(|run| run.server == index);
         self.runs = rest;
         lost.push(cause);
-        let back = self.random.random_range(1500..4500);
-        self.servers[place] =
-            Server { life: self.servers[place].life + 1, back_ms: self.now_ms + back };
+        let down = self.random.random_range(1500..4500);
+        self.servers[index] =
+            Server { starts: self.servers[index].starts + 1, up_at_ms: self.now_ms + down };
         for run in &lost {
-            self.books[run.host].record_crash(now, life, run.request);
+            self.trackers[run.host].record_crash(now, server_key, run.request);
         }
         for run in lost {
             self.send(run.request, run.host, run.attempts);
         }
     }
 
-    fn spread(&mut self) {
+    fn exchange_updates(&mut self) {
         let now = self.now();
         for from in 0..HOSTS {
-            let report = self.books[from].unsent(now);
+            let report = self.trackers[from].unsent(now);
             if report.is_empty() {
                 continue;
             }
             for to in (0..HOSTS).filter(|to| *to != from) {
-                if !self.random.random_bool(NEWS_LOST) {
-                    self.books[to].merge(now, &report);
+                if !self.random.random_bool(UPDATE_LOSS) {
+                    self.trackers[to].merge(now, &report);
                 }
             }
         }
     }
 }
 
-/// Of 112,000 innocent requests; each of the few that are met shared three crashes in the first second, before any
-/// answer to its contents had come.
-const MOST_INNOCENTS_HELD: usize = 3;
+/// Maximum number of innocent requests held, of 112,000. Each of the few that are held was in flight at three crashes
+/// in the first second, before any answer to its contents had arrived.
+const MAX_INNOCENTS_HELD: usize = 3;
 
 #[rstest]
 #[case::three_crashers(WorldPlan { crashers: 3, flood_ms: None, contents: None }, 0)]
-#[case::flood_of_new_ones(WorldPlan { crashers: 3, flood_ms: Some(300), contents: None }, 0)]
-#[case::contents_that_come_again(
+#[case::flood_of_new_crashers(WorldPlan { crashers: 3, flood_ms: Some(300), contents: None }, 0)]
+#[case::repeated_contents(
     WorldPlan { crashers: 3, flood_ms: None, contents: Some(24) },
-    MOST_INNOCENTS_HELD
+    MAX_INNOCENTS_HELD
 )]
 #[case::both(
     WorldPlan { crashers: 3, flood_ms: Some(300), contents: Some(24) },
-    MOST_INNOCENTS_HELD
+    MAX_INNOCENTS_HELD
 )]
-fn crashers_held_and_innocents_not(#[case] plan: WorldPlan, #[case] most_held: usize) {
+fn crashers_held_and_innocents_not(#[case] plan: WorldPlan, #[case] max_held: usize) {
     let mut held = 0;
     for seed in 0..40 {
         let report = World::new(plan, seed).run();
-        let most_late = report.late.values().copied().max().unwrap_or_default();
-        assert!(most_late <= MOST_LATE, "seed {seed}: {report:?}");
+        let max_late = report.late.values().copied().max().unwrap_or_default();
+        assert!(max_late <= MAX_LATE, "seed {seed}: {report:?}");
         assert!(report.crashes >= 6 && report.innocents > 2000, "seed {seed}: {report:?}");
         held += report.innocents_held;
     }
-    assert!(held <= most_held, "{held} innocent requests held back");
+    assert!(held <= max_held, "{held} innocent requests held back");
 }
--- a/tests/unconfirmed_crashes.rs
+++ b/tests/unconfirmed_crashes.rs
@@ -1,4 +1,4 @@
-//! Servers that broke connections off: when they count as crashed.
+//! When servers that broke off connections count as crashed.
 
 use tealcleat::keys::{NameKey, RequestKey, ServerKey, TimePoint};
 use tealcleat::quarantine::{ConnectionLoss, UnconfirmedCrashes};
@@ -17,46 +17,46 @@
     RequestKey(number)
 }
 
-fn broken(millis: u64, request: RequestKey) -> ConnectionLoss {
+fn loss(millis: u64, request: RequestKey) -> ConnectionLoss {
     ConnectionLoss { request, sent_at: at(millis), lost_at: at(millis) }
 }
 
-/// Servers that crashed, and which requests were there.
-fn names(crashed: &[(ServerKey, Vec<ConnectionLoss>)]) -> Vec<(ServerKey, Vec<RequestKey>)> {
-    let requests = |broken: &[ConnectionLoss]| broken.iter().map(|broken| broken.request).collect();
-    crashed.iter().map(|(server, broken)| (*server, requests(broken))).collect()
+/// Crashed servers, with the keys of the requests in flight.
+fn keys(crashed: &[(ServerKey, Vec<ConnectionLoss>)]) -> Vec<(ServerKey, Vec<RequestKey>)> {
+    let requests = |losses: &[ConnectionLoss]| losses.iter().map(|loss| loss.request).collect();
+    crashed.iter().map(|(server, losses)| (*server, requests(losses))).collect()
 }
 
 #[test]
-fn server_in_doubt_crashed_when_its_entry_goes() {
-    let mut doubts = UnconfirmedCrashes::default();
-    assert!(doubts.record_loss(server(1), broken(0, CRASHER)));
-    assert!(!doubts.record_loss(server(1), broken(1, request(1))));
-    assert!(doubts.record_loss(server(2), broken(1, CRASHER)));
-    assert!(doubts.settle(at(1000), |_| false).is_empty());
-    let crashed = doubts.settle(at(4000), |key| key == server(1));
-    assert_eq!(names(&crashed), [(server(1), vec![CRASHER, request(1)])]);
-    assert!(doubts.settle(at(7000), |_| false).is_empty());
-    assert!(doubts.settle(at(7001), |_| true).is_empty(), "it was there for long enough");
-}
-
-/// A connection lost a while ago must not hide that the server crashes now.
+fn server_crashed_when_its_entry_is_removed() {
+    let mut crashes = UnconfirmedCrashes::default();
+    assert!(crashes.record_loss(server(1), loss(0, CRASHER)));
+    assert!(!crashes.record_loss(server(1), loss(1, request(1))));
+    assert!(crashes.record_loss(server(2), loss(1, CRASHER)));
+    assert!(crashes.settle(at(1000), |_| false).is_empty());
+    let crashed = crashes.settle(at(4000), |key| key == server(1));
+    assert_eq!(keys(&crashed), [(server(1), vec![CRASHER, request(1)])]);
+    assert!(crashes.settle(at(7000), |_| false).is_empty());
+    assert!(crashes.settle(at(7001), |_| true).is_empty(), "it was there for long enough");
+}
+
+/// Guards against an earlier connection loss that hides a crash: the server must be probed after each loss.
 #[test]
-fn server_in_doubt_asked_again_when_it_breaks_off_again() {
-    let mut doubts = UnconfirmedCrashes::default();
-    assert!(doubts.record_loss(server(1), broken(0, request(1))));
-    doubts.record_probed(server(1));
-    assert!(doubts.record_loss(server(1), broken(5000, CRASHER)));
-    assert!(doubts.settle(at(9000), |_| false).is_empty());
-    let crashed = doubts.settle(at(9500), |_| true);
-    assert_eq!(names(&crashed), [(server(1), vec![request(1), CRASHER])]);
+fn server_probed_again_after_another_loss() {
+    let mut crashes = UnconfirmedCrashes::default();
+    assert!(crashes.record_loss(server(1), loss(0, request(1))));
+    crashes.record_probed(server(1));
+    assert!(crashes.record_loss(server(1), loss(5000, CRASHER)));
+    assert!(crashes.settle(at(9000), |_| false).is_empty());
+    let crashed = crashes.settle(at(9500), |_| true);
+    assert_eq!(keys(&crashed), [(server(1), vec![request(1), CRASHER])]);
 }
 
 #[test]
-fn servers_in_doubt_bounded() {
-    let mut doubts = UnconfirmedCrashes::default();
+fn unconfirmed_servers_bounded() {
+    let mut crashes = UnconfirmedCrashes::default();
     for number in 0..10_000 {
-        doubts.record_loss(server(number), broken(0, CRASHER));
+        crashes.record_loss(server(number), loss(0, CRASHER));
     }
-    assert_eq!(doubts.settle(at(1), |_| true).len(), 256);
+    assert_eq!(crashes.settle(at(1), |_| true).len(), 256);
 }
