--- a/tests/cold_servers.rs
+++ b/tests/cold_servers.rs
@@ -1,5 +1,5 @@
-//! Servers that have just started bear little for some seconds: what entries and the configuration say of it, what hosts
-//! tell each other, and what all of them together send.
+//! Servers that have just started have a lower limit for some seconds: how entries and the configuration state it, how
+//! hosts pass it on, and how much all of them together send.
 
 use rstest::rstest;
 use serde_json::json;
@@ -38,7 +38,7 @@
 #[case::warm(json!(0), 0)]
 #[case::cold(json!(2_950.5), 2_950)]
 #[case::negative(json!(-3.0), 0)]
-fn entry_says_how_long_it_is_cold(#[case] left: serde_json::Value, #[case] expected: u32) {
+fn entry_states_cold_time(#[case] left: serde_json::Value, #[case] expected: u32) {
     let spec = json!({"service": "app", "address": "127.0.0.1:1", "zone": "a", "version": "v1",
         "slots": 4, "state": "ready", "cold_left_ms": left, "seq": 0});
     let object = StoreObject { name: "i-1".to_owned(), revision: 7, deleting: false, spec };
@@ -49,7 +49,7 @@
 #[case::bounded(json!({"name": "app", "cold_per_s": 12.0}), Some(limit("12")))]
 #[case::not_bounded(json!({"name": "app", "cold_per_s": 0.0}), None)]
 #[case::not_named(json!({"name": "app"}), None)]
-fn configuration_says_what_cold_servers_bear(
+fn configuration_states_cold_limit(
     #[case] service: serde_json::Value,
     #[case] expected: Option<ServerLimit>,
 ) {
@@ -58,9 +58,9 @@
     assert_eq!(parts.services[0].cold_limit, expected);
 }
 
-/// A host that hears of a cold server from another one knows how long it still is.
+/// A host that receives the entry of a cold server from another host knows how long the server stays cold.
 #[test]
-fn cold_time_left_told_to_other_hosts() {
+fn cold_time_left_sent_to_other_hosts() {
     let mut first = FleetView::default();
     first.replace_all(at(0), 10, vec![server("a", 0), server("b", 0)]);
     first.apply(at(0), 11, vec![FleetChange::Updated(server("c", COLD_MS))]);
@@ -71,10 +71,10 @@
     assert!(cold_ids(&second, at(3_000)).is_empty());
     first.apply(at(4_000), 12, vec![FleetChange::Removed(NameKey::of("c"))]);
     first.apply(at(4_100), 13, vec![FleetChange::Updated(server("b", COLD_MS))]);
-    assert_eq!(cold_ids(&first, at(4_200)), ["b"], "a server may turn cold again");
+    assert_eq!(cold_ids(&first, at(4_200)), ["b"], "a server may become cold again");
 }
 
-/// One of many hosts, which all know the same of one cold server.
+/// One of several hosts that all know the same cold server.
 fn host(server: ServerKey) -> SendControl {
     let mut sends = SendControl::default();
     sends.cold.record(server, at(COLD_MS.into()), limit("12"));
@@ -95,24 +95,24 @@
     assert!(warm.limited(at(COLD_MS.into())).is_empty());
 }
 
-/// Pattern: a server comes back while a hundred hosts have work for it, each of which finds it empty and would send at
-/// once.
+/// Guards against a burst at a restarted server when a hundred hosts have requests for it: each of them sees the server
+/// idle and would send at once.
 #[test]
-fn hundred_hosts_send_what_a_cold_server_bears() {
+fn hundred_hosts_stay_within_cold_limit() {
     let key = server("a", 0).key();
     let mut owner = host(key);
     let mut hosts: Vec<SendControl> = (0..100).map(|_| host(key)).collect();
     let mut sent = Vec::new();
     for millis in (0..u64::from(COLD_MS)).step_by(5) {
-        let place = (millis / 5 % 100) as usize;
-        let (now, from) = (at(millis), IncarnationId(place as u64));
-        let asking = &mut hosts[place];
-        if !asking.is_open(now, key, CallRank::default()) {
+        let index = (millis / 5 % 100) as usize;
+        let (now, from) = (at(millis), IncarnationId(index as u64));
+        let host = &mut hosts[index];
+        if !host.is_open(now, key, CallRank::default()) {
             continue;
         }
-        let ask = asking.permit_request(now, key, CallRank::default(), PermitPurpose::Send);
-        let (reply, _) = owner.receive(now, from, &ask, true);
-        if asking.apply_reply(now, &ask, Some(&reply)) {
+        let request = host.permit_request(now, key, CallRank::default(), PermitPurpose::Send);
+        let (reply, _) = owner.receive(now, from, &request, true);
+        if host.apply_reply(now, &request, Some(&reply)) {
             assert_eq!(reply.decision, PermitDecision::Granted);
             sent.push(millis);
         }
--- a/tests/owner_terms.rs
+++ b/tests/owner_terms.rs
@@ -1,4 +1,4 @@
-//! What owners saved up: it counts only while they were the owners all the time.
+//! Units that accumulate at an owner are valid only if it has been the owner without interruption.
 
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -14,8 +14,8 @@
 const SHARE: LimitShare = LimitShare { rate: 1000.0, burst: 2000.0, initial: 400.0 };
 const OTHER_HOST: IncarnationId = IncarnationId(77);
 const SERVICE: NameKey = NameKey(1);
-/// How often an owner looks after its accounts.
-const LOOK_MS: usize = 250;
+/// Interval at which an owner checks its ownership.
+const CHECK_MS: usize = 250;
 
 fn at(millis: u64) -> TimePoint {
     TimePoint::from_millis(100_000 + millis)
@@ -25,44 +25,44 @@
     OrgKey::of("moonbook")
 }
 
-fn ask(units: u32) -> LimitRequest {
+fn request(units: u32) -> LimitRequest {
     LimitRequest { sequence: 1, org: org(), used: i64::from(units), units, seen_level: None }
 }
 
-/// An owner that granted all that it had, and has looked after the rest until two seconds later.
+/// An owner that granted its whole burst, and has checked its ownership for two seconds since then.
 fn busy_ledger() -> LimitLedger {
     let mut ledger = LimitLedger::default();
     ledger.check_ownership(at(0), |_| true);
-    ledger.receive(at(0), OTHER_HOST, &ask(2000), &SHARE, true);
-    for millis in (250..=2000).step_by(LOOK_MS) {
+    ledger.receive(at(0), OTHER_HOST, &request(2000), &SHARE, true);
+    for millis in (250..=2000).step_by(CHECK_MS) {
         ledger.check_ownership(at(millis), |_| true);
     }
     ledger
 }
 
-/// Guards against an owner that wakes up with full accounts, while another one granted the same units.
+/// Guards against an owner that resumes from a suspension with full accounts while another one granted the same units.
 #[rstest]
-#[case::asked_before_it_looked(false)]
-#[case::looked_first(true)]
-fn suspended_owner_of_limits_begins_anew(#[case] looks_first: bool) {
+#[case::request_before_check(false)]
+#[case::check_before_request(true)]
+fn suspended_owner_of_limits_starts_over(#[case] checks_first: bool) {
     let mut ledger = busy_ledger();
-    if looks_first {
+    if checks_first {
         ledger.check_ownership(at(9000), |_| true);
     }
-    let answer = ledger.receive(at(9010), OTHER_HOST, &ask(0), &SHARE, false);
+    let answer = ledger.receive(at(9010), OTHER_HOST, &request(0), &SHARE, false);
     assert_eq!(answer.level, 400);
-    let used = ledger.receive(at(9010), OTHER_HOST, &ask(400), &SHARE, false);
-    assert_eq!((used.refused_ms, used.level), (None, 0), "it begins anew once");
-    let told = LimitRequest { units: 0, ..ask(400) };
-    assert_eq!(ledger.receive(at(9010), OTHER_HOST, &told, &SHARE, false).level, 0);
+    let used = ledger.receive(at(9010), OTHER_HOST, &request(400), &SHARE, false);
+    assert_eq!((used.refused_ms, used.level), (None, 0), "it starts over only once");
+    let report = LimitRequest { units: 0, ..request(400) };
+    assert_eq!(ledger.receive(at(9010), OTHER_HOST, &report, &SHARE, false).level, 0);
     assert!(!ledger.term().lasts_for(at(9010), Duration::from_secs(8)));
 }
 
 #[test]
-fn owner_of_limits_keeps_what_it_saved_up() {
+fn owner_of_limits_keeps_its_level() {
     let mut ledger = busy_ledger();
     assert!(ledger.term().lasts_for(at(2000), Duration::from_secs(8)));
-    assert_eq!(ledger.receive(at(2000), OTHER_HOST, &ask(0), &SHARE, false).level, 2000);
+    assert_eq!(ledger.receive(at(2000), OTHER_HOST, &request(0), &SHARE, false).level, 2000);
 }
 
 fn retry_share() -> RetryShare {
@@ -72,24 +72,26 @@
 }
 
 fn granted(pools: &mut RetryPools, now: TimePoint) -> usize {
-    let ask = |sequence| RetryRequest { sequence, service: SERVICE, count: 1 };
-    (0..100).filter(|sequence| pools.receive(now, &ask(*sequence), &retry_share(), false)).count()
+    let request = |sequence| RetryRequest { sequence, service: SERVICE, count: 1 };
+    (0..100)
+        .filter(|sequence| pools.receive(now, &request(*sequence), &retry_share(), false))
+        .count()
 }
 
-/// Guards against pools of repeats that fill up while another host grants, or while their owner is suspended.
+/// Guards against retry pools that refill while another host grants from them, or while their owner is suspended.
 #[rstest]
-#[case::owner_all_the_time(true, LOOK_MS, 20)]
-#[case::others_owned_them(false, LOOK_MS, 0)]
+#[case::owned_all_the_time(true, CHECK_MS, 20)]
+#[case::owned_by_another(false, CHECK_MS, 0)]
 #[case::suspended(true, 20_000, 0)]
 fn pool_of_a_former_owner_is_empty(
     #[case] is_owned: bool,
-    #[case] look_ms: usize,
+    #[case] check_ms: usize,
     #[case] expected: usize,
 ) {
     let mut pools = RetryPools::default();
     granted(&mut pools, at(0));
-    for millis in (0..=20_000).step_by(look_ms) {
-        // In the end it is the owner again.
+    for millis in (0..=20_000).step_by(check_ms) {
+        // At the end the host is the owner again.
         pools.check_ownership(at(millis), |_| is_owned || millis == 20_000);
     }
     assert_eq!(granted(&mut pools, at(20_000)), expected);
@@ -100,7 +102,7 @@
     MemberUpdate::started(IncarnationId(number.into()), address, NameKey::of("a"))
 }
 
-/// A table of six hosts whose own one is the first or the last choice for the organisation.
+/// A table of six hosts whose own host is the first or the last choice as the owner of the organisation.
 fn table(is_first: bool) -> MemberTable {
     let hosts: Vec<MemberUpdate> = (1..=6).map(host).collect();
     let silent = SilentOwners::default();
@@ -114,7 +116,7 @@
         }
         hosts.iter().all(|other| other == *own || !owns(own, &[**own, *other]))
     };
-    let own = *hosts.iter().find(is_chosen).expect("one of them");
+    let own = *hosts.iter().find(is_chosen).expect("one host matches");
     let others: Vec<MemberUpdate> = hosts.into_iter().filter(|host| *host != own).collect();
     let mut table = MemberTable::new(own, Vec::new(), 7);
     table.merge_all(at(0), &others);
@@ -138,15 +140,15 @@
     assert_eq!(is_owner_since(&table(is_first), at(0)), expected);
 }
 
-/// Guards against an account that is kept by a host which was not the owner for a moment between two looks.
+/// Guards against an account that is kept although its host briefly lost the ownership between two checks.
 #[test]
-fn office_lost_and_won_between_two_looks_is_a_new_one() {
+fn ownership_regained_between_two_checks_is_new() {
     let mut table = table(false);
     let dead = dead(&table);
     table.merge_all(at(5000), &dead);
-    assert!(!is_owner_since(&table, at(4900)), "another one was the owner until 5.0 s");
+    assert!(!is_owner_since(&table, at(4900)), "another host was the owner until 5.0 s");
     assert!(is_owner_since(&table, at(5000)));
-    // One of them comes again, and is gone, before the next look.
+    // One of the hosts returns and dies again before the next check.
     let again = MemberUpdate { state: MemberState::Alive, version: 9, ..dead[0] };
     table.merge_all(at(6000), &[again]);
     table.merge_all(at(6100), &[MemberUpdate { state: MemberState::Dead, ..again }]);
@@ -154,13 +156,13 @@
     assert!(is_owner_since(&table, at(6100)));
 }
 
-/// Guards against full accounts of an owner that others took for dead meanwhile.
+/// Guards against accounts that are kept by an owner which other hosts declared dead in the meantime.
 #[test]
-fn owner_that_others_took_for_dead_has_a_new_office() {
+fn owner_declared_dead_starts_a_new_term() {
     let mut table = table(true);
     assert!(table.is_settled(at(9000), Duration::from_secs(8)));
-    let slander = MemberUpdate { state: MemberState::Dead, ..table.own() };
-    table.merge_all(at(9000), &[slander]);
+    let false_death = MemberUpdate { state: MemberState::Dead, ..table.own() };
+    table.merge_all(at(9000), &[false_death]);
     assert!(!is_owner_since(&table, at(8900)));
     assert!(!table.is_settled(at(9100), Duration::from_secs(8)));
     assert!(is_owner_since(&table, at(9000)));
@@ -168,14 +170,14 @@
 }
 
 #[test]
-fn term_of_an_owner_ends_with_a_break() {
+fn owner_term_ends_with_a_gap() {
     let mut term = OwnerTerm::default();
     assert!(term.renew(at(0)) && term.renew(at(250)) && term.renew(at(1000)));
-    assert!(term.lasts_for(at(1000), Duration::from_secs(8)), "it has had no break");
+    assert!(term.lasts_for(at(1000), Duration::from_secs(8)), "there was no gap");
     assert!(term.is_broken(at(1900)));
     assert!(!term.renew(at(1900)) && term.renew(at(2150)));
     assert!(!term.lasts_for(at(2150), Duration::from_secs(1)));
-    for millis in (2400..=3000).step_by(LOOK_MS) {
+    for millis in (2400..=3000).step_by(CHECK_MS) {
         assert!(term.renew(at(millis)));
     }
     assert!(term.lasts_for(at(3000), Duration::from_secs(1)));
--- a/tests/retry_window.rs
+++ b/tests/retry_window.rs
@@ -1,4 +1,4 @@
-//! How many repeats are allowed over all hosts.
+//! How many retries hosts may make without a grant of an owner.
 
 use std::time::Duration;
 use tealcleat::keys::TimePoint;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn repeats_bounded_by_share_of_slack_and_ratio() {
+fn retries_bounded_by_share_of_slack_and_ratio() {
     let mut window = RetryWindow::default();
     let taken = (0..100).filter(|_| window.try_take(at(0), &bounds(), 10, 1)).count();
     assert_eq!(taken, 4, "a tenth of a quarter of the slack");
@@ -24,15 +24,15 @@
     assert_eq!(taken, 14, "0.2 of 100 requests with its margin of 0.7");
 }
 
-/// Whatever the hosts do alone, together they stay below the bound in every sliding window.
+/// Hosts that decide independently of each other stay below the common bound in every sliding window.
 #[test]
-fn repeats_of_all_hosts_bounded_in_every_window() {
+fn retries_of_all_hosts_bounded_in_every_window() {
     let mut windows = vec![RetryWindow::default(); 10];
     let mut requests = Vec::new();
-    let mut repeats = Vec::new();
+    let mut retries = Vec::new();
     for step in 0..4000_u64 {
         let now = at(step * 10);
-        // A storm every five seconds: each request wants three repeats.
+        // A retry storm every five seconds, in which each request needs three retries.
         let busy = (step / 250).is_multiple_of(2);
         let host = &mut windows[(step % 10) as usize];
         if busy || step.is_multiple_of(20) {
@@ -41,7 +41,7 @@
         }
         for _ in 0..3 {
             if host.try_take(now, &bounds(), 10, 1) {
-                repeats.push(step * 10);
+                retries.push(step * 10);
             }
         }
     }
@@ -53,6 +53,6 @@
         let earlier = within(&requests, from.saturating_sub(10_000), from);
         let middle = within(&requests, from.saturating_sub(5000), end.saturating_sub(5000));
         let allowed = within(&requests, from, end).max(earlier).max(middle) * 0.2 + 160.0 * 0.25;
-        assert!(within(&repeats, from, end) <= allowed, "window ending at {end}");
+        assert!(within(&retries, from, end) <= allowed, "window ending at {end}");
     }
 }
