--- a/src/gateway/age_loop.rs
+++ b/src/gateway/age_loop.rs
@@ -1,5 +1,5 @@
-//! Keeps this host's knowledge of the age of its configuration young: the watcher of the failure domain
-//! has it from the store, the others ask the watcher.
+//! Keeps the known age of this host's configuration low: the watcher of the failure domain learns it
+//! from the store, and the other hosts request it from the watcher.
 
 use super::gateway_host::GatewayHost;
 use super::peer_messages::GatewayDatagram;
@@ -10,17 +10,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often the age is asked for. With the watcher's own age of up to 1 s, keys are believed for 3.4 s
-/// after the last contact with the store at least.
-const ASK_PERIOD: Duration = Duration::from_millis(500);
-/// The same while callers are refused, since it is too old.
-const HASTY_PERIOD: Duration = Duration::from_millis(150);
-/// A question without an answer after this time makes the host ask others as well.
-const ANSWER_LIMIT: Duration = Duration::from_millis(300);
-/// So does an age of more than this: the watcher has lost the store, or is not the one that it seems.
-const DOUBT_AGE: Duration = Duration::from_millis(2000);
+/// How often the age is requested. With the watcher's own age of up to 1 s, keys stay valid for at
+/// least 3.4 s after the last contact with the store.
+const REQUEST_PERIOD: Duration = Duration::from_millis(500);
+/// The period while callers are refused because the configuration is too old.
+const EXPIRED_PERIOD: Duration = Duration::from_millis(150);
+/// When a request has no reply after this time, the host asks other hosts as well.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(300);
+/// Above this age the host also asks other hosts: the watcher has lost the store, or another host is
+/// the watcher.
+const SUSPECT_AGE: Duration = Duration::from_millis(2000);
 
-/// Asks for the age of the configuration while keys depend on it.
+/// Requests the age of the configuration as long as caller keys depend on it.
 pub(super) async fn poll_config_age(host: Arc<GatewayHost>) {
     loop {
         let (bounded, too_old) = {
@@ -31,17 +32,17 @@
         if bounded {
             host.request_config_age();
         }
-        tokio::time::sleep(if too_old { HASTY_PERIOD } else { ASK_PERIOD }).await;
+        tokio::time::sleep(if too_old { EXPIRED_PERIOD } else { REQUEST_PERIOD }).await;
     }
 }
 
 impl GatewayHost {
-    /// Asks the watcher of the own failure domain, and others if that is in doubt.
+    /// Asks the watcher of this host's failure domain, and other hosts if that answer is in doubt.
     pub(super) fn request_config_age(&self) {
         let now = self.now();
         for address in self.age_targets(now) {
-            let question = self.state().config_age.next_request(now);
-            self.send(address, &GatewayDatagram::AgeRequest(question));
+            let request = self.state().config_age.next_request(now);
+            self.send(address, &GatewayDatagram::AgeRequest(request));
         }
     }
 
@@ -49,52 +50,53 @@
         let state = self.state();
         let watcher = state.watcher(now, self.domain()).filter(|host| *host != self.incarnation);
         let watcher = watcher.and_then(|host| state.members.record(host));
-        let in_doubt = state.config_age.has_unanswered_request(now, ANSWER_LIMIT)
-            || state.config_age.age(now) > DOUBT_AGE;
+        let in_doubt = state.config_age.has_unanswered_request(now, REPLY_TIMEOUT)
+            || state.config_age.age(now) > SUSPECT_AGE;
         let mut targets: Vec<MemberUpdate> =
             watcher.map(|record| record.update).into_iter().collect();
         if in_doubt {
             let salt = mix_hash(self.incarnation.0, now.0);
-            targets.extend(state.other_domain_member(salt));
-            let abroad = state.members.reachable(now).filter(|host| host.domain != self.domain());
-            targets.extend(abroad.min_by_key(|host| mix_hash(salt, host.incarnation.0)));
+            targets.extend(state.same_domain_member(salt));
+            let remote = state.members.reachable(now).filter(|host| host.domain != self.domain());
+            targets.extend(remote.min_by_key(|host| mix_hash(salt, host.incarnation.0)));
         }
         targets.into_iter().map(|member| member.address).collect()
     }
 
-    /// Answers another host's question, if this host knows.
-    pub(super) fn reply_config_age(&self, from: SocketAddr, question: AgeRequest) {
-        let answer = self.config_age_reply(question);
-        if let Some(answer) = answer {
-            self.send(from, &GatewayDatagram::AgeReply(answer));
+    /// Replies to another host's request, if this host knows the age of its configuration.
+    pub(super) fn reply_config_age(&self, from: SocketAddr, request: AgeRequest) {
+        let reply = self.config_age_reply(request);
+        if let Some(reply) = reply {
+            self.send(from, &GatewayDatagram::AgeReply(reply));
         }
     }
 
-    /// The answer to a question about the age of this host's configuration.
-    pub(super) fn config_age_reply(&self, question: AgeRequest) -> Option<AgeReply> {
+    /// The reply to a request for the age of this host's configuration.
+    pub(super) fn config_age_reply(&self, request: AgeRequest) -> Option<AgeReply> {
         let now = self.now();
         let state = self.state();
-        state.config_age.reply(now, question, state.routes.version())
+        state.config_age.reply(now, request, state.routes.version())
     }
 
-    /// Takes over an answer; a host that has a newer configuration is asked for it.
-    pub(super) fn apply_age_reply(self: &Arc<Self>, from: SocketAddr, answer: AgeReply) {
+    /// Applies a reply. If the replying host has a newer configuration, fetches it from there.
+    pub(super) fn apply_age_reply(self: &Arc<Self>, from: SocketAddr, reply: AgeReply) {
         let version = {
             let mut state = self.state();
             let version = state.routes.version();
-            state.config_age.apply_reply(answer, version);
+            state.config_age.apply_reply(reply, version);
             version
         };
-        if answer.version > version {
-            self.apply_view_mark(ViewMark { config_version: answer.version, fleet_revision: 0 });
+        if reply.version > version {
+            self.apply_view_mark(ViewMark { config_version: reply.version, fleet_revision: 0 });
             self.fetch_view(from);
         } else {
             self.config_age_updated.notify_waiters();
         }
     }
 
-    /// The store answered a question that left at `asked_at`: what it did not tell did not happen before.
-    pub(super) fn note_config_complete(&self, asked_at: TimePoint) {
+    /// Records that the store answered a request sent at `asked_at`: the configuration held by this host
+    /// includes every change made before that time.
+    pub(super) fn record_config_complete(&self, asked_at: TimePoint) {
         self.state().config_age.record_complete(asked_at);
         self.config_age_updated.notify_waiters();
     }
--- a/src/gateway/crash_store.rs
+++ b/src/gateway/crash_store.rs
@@ -1,7 +1,7 @@
-//! Keeps the crashes of servers in the store: for hosts that are cut off from the others, and for those that start
-//! when all that knew are gone.
+//! Keeps a copy of the recorded crashes in the store: for hosts that are partitioned from the others, and for
+//! hosts that start after every host that knew of them is gone.
 //!
-//! The watcher of a failure domain does this for it. The others hear of it as of all crashes.
+//! The watcher of each failure domain reads and writes the copy; the other hosts learn of its crashes by gossip.
 
 use super::gateway_host::GatewayHost;
 use crate::membership::MemberUpdate;
@@ -15,41 +15,45 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-/// Hosts that start together know each other after this: then one in each failure domain reads.
-const START_PAUSE: Duration = Duration::from_millis(500);
-/// How often a host looks whether there is something to write.
-const LOOK_PERIOD: Duration = Duration::from_millis(100);
-/// How often one that is not the watcher looks whether it has become that: an election among a hundred hosts each time.
-const DUTY_PERIOD: Duration = Duration::from_millis(500);
-/// How long one watch waits. It ends with the first change; each costs the store a call, a tenth of those that the
-/// servers and the configuration cost.
+/// Hosts that start at the same time have discovered each other after this delay, so that only one in each failure
+/// domain reads.
+const START_DELAY: Duration = Duration::from_millis(500);
+/// How often a host checks whether there is something to write.
+const WRITE_PERIOD: Duration = Duration::from_millis(100);
+/// How often a host that is not the watcher checks whether it has become the watcher: each check is an election among
+/// a hundred hosts.
+const ROLE_PERIOD: Duration = Duration::from_millis(500);
+/// Plan of one watch, which ends at the first change. Each watch is one call of the store; at this wait they are a
+/// tenth of the calls for servers and configuration.
 const WATCH_PLAN: WatchPlan = WatchPlan {
     wait: Duration::from_millis(10_000),
     slack: Duration::from_millis(400),
-    // Each version is whole: more than the longest object are several, and reading it brings the last one.
+    // Each version is complete: an answer longer than the longest object holds several versions, and reading the
+    // object returns only the last one.
     longest: LONGEST_OBJECT,
 };
-/// A slow store answers within 0.3 s.
-const CALL_LIMIT: Duration = Duration::from_millis(700);
-/// Pause after the store did not answer, or refused.
-const LOST_PAUSE: Duration = Duration::from_millis(500);
-/// By how much each further failure domain's watcher waits before it writes what all of them heard: one write is
-/// enough, and its watch tells the others.
-const TURN_PAUSE: Duration = Duration::from_millis(400);
+/// Timeout of a store call; a slow store answers within 0.3 s.
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
+/// Pause after the store did not answer or refused a call.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Delay between the watchers of successive failure domains before they write a crash that all of them received: one
+/// write is enough, and the others see it in their watch.
+const WRITE_STAGGER: Duration = Duration::from_millis(400);
 
-/// Follows the store's copy, and writes what it lacks.
+/// Watches the store's copy, and writes the crashes that it lacks.
 pub(super) async fn run_crash_store(host: Arc<GatewayHost>) {
-    tokio::time::sleep(START_PAUSE).await;
+    tokio::time::sleep(START_DELAY).await;
     tokio::join!(follow_copy(&host), save_copy(&host));
 }
 
 async fn follow_copy(host: &GatewayHost) {
     let mut watched = None;
     loop {
-        // A host without a list of servers leaves the store's rate to the listings.
+        // A host without a list of servers makes no other store calls, so that the store's rate limit is left to the
+        // listings.
         if host.state().fleet.revision() == 0 || !host.watches_crashes() {
             watched = None;
-            tokio::time::sleep(DUTY_PERIOD).await;
+            tokio::time::sleep(ROLE_PERIOD).await;
             continue;
         }
         match host.follow_step(watched).await {
@@ -57,7 +61,7 @@
             Err(error) => {
                 log::info!("event=crashes_not_read cause=\"{error}\"");
                 watched = None;
-                tokio::time::sleep(LOST_PAUSE).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
     }
@@ -66,16 +70,16 @@
 async fn save_copy(host: &GatewayHost) {
     let mut unsaved_for = Duration::ZERO;
     loop {
-        tokio::time::sleep(LOOK_PERIOD).await;
-        // The election only if there is something to write.
+        tokio::time::sleep(WRITE_PERIOD).await;
+        // The election takes place only if there is something to write.
         let is_due = host.state().crashes.is_unsaved() && host.watches_crashes();
-        unsaved_for = if is_due { unsaved_for + LOOK_PERIOD } else { Duration::ZERO };
-        if !is_due || unsaved_for < TURN_PAUSE * host.writing_turn() {
+        unsaved_for = if is_due { unsaved_for + WRITE_PERIOD } else { Duration::ZERO };
+        if !is_due || unsaved_for < WRITE_STAGGER * host.write_position() {
             continue;
         }
         if let Err(error) = host.save_crashes().await {
             log::info!("event=crashes_not_saved cause=\"{error}\"");
-            tokio::time::sleep(LOST_PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 }
@@ -86,8 +90,8 @@
         self.state().watcher(now, self.domain()) == Some(self.incarnation)
     }
 
-    /// Watchers of other failure domains that write before this one.
-    fn writing_turn(&self) -> u32 {
+    /// Number of failure domains whose watchers write before this one.
+    fn write_position(&self) -> u32 {
         let now = self.now();
         let state = self.state();
         let others: BTreeSet<_> = state
@@ -99,12 +103,12 @@
         u32::try_from(others.len()).unwrap_or(u32::MAX)
     }
 
-    /// Reads the copy, or waits for a change of it; returns where the next watch goes on, or nothing if it has to be
-    /// read anew.
+    /// Reads the copy, or waits for a change of it. Returns the revision at which the next watch starts, or `None` if
+    /// the copy has to be read again.
     async fn follow_step(&self, watched: Option<u64>) -> Result<Option<u64>> {
         let (kind, _) = CRASHES_OBJECT;
         let Some(after) = watched else {
-            // The store has one counter of revisions: what changes after this one is told by the watch.
+            // The store has a single revision counter: the watch returns everything that changes after this revision.
             let revision = self.state().fleet.revision();
             self.read_crashes().await?;
             return Ok(Some(revision));
@@ -114,7 +118,7 @@
             WatchAnswer::Changes(changes, revision) => {
                 for change in &changes {
                     if let StoreEvent::Stated(object) = change {
-                        self.take_copy(object);
+                        self.merge_copy(object);
                     }
                 }
                 Ok(Some(revision))
@@ -124,14 +128,14 @@
 
     async fn read_crashes(&self) -> Result<()> {
         let (kind, name) = CRASHES_OBJECT;
-        match self.store.read(kind, name, CALL_LIMIT).await? {
-            Some(object) => self.take_copy(&object),
+        match self.store.read(kind, name, CALL_TIMEOUT).await? {
+            Some(object) => self.merge_copy(&object),
             None => self.state().crashes_revision = None,
         }
         Ok(())
     }
 
-    fn take_copy(&self, object: &StoreObject) {
+    fn merge_copy(&self, object: &StoreObject) {
         if object.name != CRASHES_OBJECT.1 {
             return;
         }
@@ -153,7 +157,7 @@
                 }
             }
             Err(error) => {
-                // Nobody else writes this kind; the next write replaces it.
+                // Only these daemons write this kind; the next write replaces the object.
                 log::warn!("event=crashes_unreadable revision={revision} cause=\"{error}\"");
                 let mut state = self.state();
                 state.crashes_revision = state.crashes_revision.max(Some(revision));
@@ -170,7 +174,7 @@
         };
         let CrashReport { crashes, .. } = report;
         let spec = encode_crashes(&crashes, SystemTime::now());
-        match self.store.write(kind, name, expected, &spec, CALL_LIMIT).await {
+        match self.store.write(kind, name, expected, &spec, CALL_TIMEOUT).await {
             StoreWrite::Written(object) => {
                 let mut state = self.state();
                 state.crashes_revision = state.crashes_revision.max(Some(object.revision));
@@ -180,10 +184,10 @@
                 log::info!("event=crashes_saved count={count} revision={revision}");
                 Ok(())
             }
-            // Another host wrote: what it knew is kept, and the next look writes what it lacked.
+            // Another host wrote first: its crashes are merged, and the next check writes those that it lacked.
             StoreWrite::Conflict => self.read_crashes().await,
             StoreWrite::Refused => Err(Error::Refused("the store refused the write".to_owned())),
-            // It may have been written: the copy tells.
+            // The write may have succeeded; reading the copy shows whether it did.
             StoreWrite::Lost => self.read_crashes().await,
         }
     }
--- a/src/gateway/crash_updates.rs
+++ b/src/gateway/crash_updates.rs
@@ -1,4 +1,4 @@
-//! Tells other hosts which servers crashed under which requests.
+//! Sends other hosts the crashes of servers and the requests that were in flight at the time.
 
 use super::gateway_host::GatewayHost;
 use super::peer_messages::GatewayDatagram;
@@ -7,16 +7,17 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How often a host tells what is new to it: all of 300 hosts hear it within half a second (reckoned).
-const TELL_PERIOD: Duration = Duration::from_millis(100);
-/// Hosts of the own failure domain told each time.
-const TELL_NEAR: usize = 4;
-/// Hosts of other failure domains told each time; their bytes are priced.
-const TELL_ABROAD: usize = 2;
+/// How often a host sends the crashes that are new to it: they reach all of 300 hosts within half a
+/// second.
+const SEND_PERIOD: Duration = Duration::from_millis(100);
+/// Hosts of the same failure domain in each round.
+const LOCAL_TARGETS: usize = 4;
+/// Hosts of other failure domains in each round; traffic between domains is charged.
+const REMOTE_TARGETS: usize = 2;
 
-/// Tells crashes while there are some that others may not know.
+/// Sends crashes as long as there are some that other hosts may not know.
 pub(super) async fn run_crash_updates(host: Arc<GatewayHost>) {
-    let mut ticker = tokio::time::interval(TELL_PERIOD);
+    let mut ticker = tokio::time::interval(SEND_PERIOD);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticker.tick().await;
@@ -32,14 +33,14 @@
         if report.is_empty() {
             return;
         }
-        let serial = self.gossip_round.fetch_add(1, Ordering::Relaxed);
-        let news = GatewayDatagram::Crashes(report);
-        for target in self.gossip_targets(serial, TELL_NEAR, TELL_ABROAD) {
-            self.send(target, &news);
+        let round = self.gossip_round.fetch_add(1, Ordering::Relaxed);
+        let update = GatewayDatagram::Crashes(report);
+        for target in self.gossip_targets(round, LOCAL_TARGETS, REMOTE_TARGETS) {
+            self.send(target, &update);
         }
     }
 
-    /// Takes over what another host told.
+    /// Merges crashes that another host reported.
     pub(super) fn apply_crash_report(&self, report: &CrashReport) {
         let now = self.now();
         let mut state = self.state();
--- a/src/gateway/crash_watch.rs
+++ b/src/gateway/crash_watch.rs
@@ -1,4 +1,4 @@
-//! Finds out which servers crashed under which requests, and holds back requests that crash servers.
+//! Detects server crashes and the requests in flight at the time, and holds back requests that crash servers.
 
 use super::call_context::CallContext;
 use super::gateway_host::GatewayHost;
@@ -9,48 +9,51 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Pause before a server that broke off is asked for: a process that ends closes its sockets one after the other.
-const ASK_PAUSE: Duration = Duration::from_millis(30);
-/// A server whose process has ended refuses connections within a round trip.
-const ASK_LIMIT: Duration = Duration::from_millis(250);
+/// Delay before a server that dropped a connection is probed: a process that exits closes its sockets one after the
+/// other.
+const PROBE_DELAY: Duration = Duration::from_millis(30);
+/// Timeout of the probe. A machine whose server process has exited refuses connections within a round trip.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The shortest wait for news that settle what is known of a crash.
-const LEAST_WAIT: Duration = Duration::from_millis(20);
+/// The shortest wait for the updates that settle the verdict on a request.
+const MIN_WAIT: Duration = Duration::from_millis(20);
 
-/// What becomes of a request that came.
+/// Decision on a received request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestAdmission {
-    /// It is sent on.
+    /// The request is sent to a server.
     Admitted,
-    /// It was held back, and is sent to one server to find out whether rightly.
+    /// The request was held back, and is sent to one server to check whether it still crashes servers.
     Trial(CrashEvidence),
-    /// It is refused.
+    /// The request is refused.
     HeldBack(CrashEvidence),
 }
 
 impl CallContext {
-    /// The call to a server ended with `error`: if the server broke off in the middle, it may have crashed under
-    /// this request.
+    /// Records that the call to a server failed with `error`. If the server dropped the connection during the call, it
+    /// may have crashed because of this request.
     pub fn record_failure(&self, server: &ServerEntry, error: &Error) {
         if error.is_break_off() {
-            self.host.note_break_off(server, self.contents, self.sent_at());
+            self.host.record_break_off(server, self.contents, self.sent_at());
         }
     }
 
-    /// A server answered this request whole.
+    /// Records that a server answered this request completely.
     pub fn record_success(&self) {
         let now = self.host.now();
         self.host.state().crashes.record_served(now, self.contents);
     }
 
-    /// Whether this request, which was sent to `sent` servers, must go to no further one since it crashes them. Asked
-    /// before each send: a request under way learns of what it did elsewhere, and waits until that is settled.
+    /// Whether this request, sent to `sent` servers so far, must not be sent to another one because it crashes them.
+    /// Checked before each send: other hosts may have reported crashes caused by a request in flight, and it waits
+    /// until the verdict is settled.
     pub async fn is_held_back(&self, sent: u32) -> bool {
         let is_allowed = self.is_trial && sent == 0;
         !is_allowed && self.host.resolve_hold(self.id(), self.contents, self.time_left()).await
     }
 
-    /// The same by what is settled already, where a wait would cost what servers keep for it, or delay its final answer.
+    /// The same check without waiting for the verdict to settle, where a wait would cost the request what servers
+    /// reserve for it, or delay its final answer.
     pub fn is_known_held_back(&self, sent: u32) -> bool {
         let is_allowed = self.is_trial && sent == 0;
         let verdict = self.host.state().crashes.verdict(self.contents);
@@ -59,20 +62,21 @@
 }
 
 impl GatewayHost {
-    /// Whether a request is held back, as soon as that can be told: one that seems to crash servers waits until it is known
-    /// who else was there. If that takes longer than it has `left`, or ever more servers crash meanwhile, it is sent on.
+    /// Whether a request is held back. A request that seems to crash servers waits until it is known which other
+    /// requests were in flight there. If that takes longer than the time that it has `left`, or more and more servers
+    /// crash meanwhile, the request is sent.
     async fn resolve_hold(&self, id: &str, request: RequestKey, left: Duration) -> bool {
-        let patience = left.min(SETTLE_TIME);
+        let max_wait = left.min(SETTLE_TIME);
         let (began, mut waited) = (self.now(), Duration::ZERO);
         loop {
             let verdict = self.state().crashes.verdict(request);
             match verdict {
                 RequestVerdict::Held => return true,
-                RequestVerdict::Unsettled { wait } if waited < patience => {
+                RequestVerdict::Unsettled { wait } if waited < max_wait => {
                     if waited.is_zero() {
                         log_wait(id, request, wait);
                     }
-                    tokio::time::sleep(wait.max(LEAST_WAIT).min(patience - waited)).await;
+                    tokio::time::sleep(wait.max(MIN_WAIT).min(max_wait - waited)).await;
                     waited = self.now().since(began);
                 }
                 RequestVerdict::Free | RequestVerdict::Unsettled { .. } => return false,
@@ -80,7 +84,7 @@
         }
     }
 
-    /// Decides on a request that came.
+    /// Decides whether a received request is sent to a server.
     pub(super) async fn admit(
         &self,
         id: &str,
@@ -101,38 +105,39 @@
         RequestAdmission::HeldBack(evidence)
     }
 
-    fn note_break_off(
+    fn record_break_off(
         self: &Arc<Self>,
         server: &ServerEntry,
         request: RequestKey,
         began_at: TimePoint,
     ) {
         let key = server.key();
-        let broken = ConnectionLoss { request, sent_at: began_at, lost_at: self.now() };
+        let loss = ConnectionLoss { request, sent_at: began_at, lost_at: self.now() };
         let is_first = {
             let mut state = self.state();
             if state.crashes.has_crashed(key) {
                 drop(state);
-                self.note_crash(key, &server.id, &[broken], "known");
+                self.record_crash(key, &server.id, &[loss], "known");
                 return;
             }
-            // A server that leaves as planned may end while a request is still there.
-            state.fleet.is_ready(key) && state.unconfirmed_crashes.record_loss(key, broken)
+            // A server that is draining may exit while a request is still in flight there.
+            state.fleet.is_ready(key) && state.unconfirmed_crashes.record_loss(key, loss)
         };
         if is_first {
             let (host, server) = (Arc::clone(self), server.clone());
-            tokio::spawn(async move { host.ask_server(&server).await });
+            tokio::spawn(async move { host.probe_server(&server).await });
         }
     }
 
-    /// Asks whether a server that broke off is still there. If it is, it has lost a connection, or hides behind
-    /// something that accepts connections for it: then its entry tells later.
-    async fn ask_server(&self, server: &ServerEntry) {
-        tokio::time::sleep(ASK_PAUSE).await;
-        let outcome = match self.pool.warm(server.address, ASK_LIMIT).await {
+    /// Probes whether a server that dropped a connection still accepts connections. If it does, either a single
+    /// connection failed, or a proxy accepts connections on behalf of a crashed server; in the second case a later
+    /// change of its entry shows the crash.
+    async fn probe_server(&self, server: &ServerEntry) {
+        tokio::time::sleep(PROBE_DELAY).await;
+        let outcome = match self.pool.warm(server.address, PROBE_TIMEOUT).await {
             Err(error) if error.is_refused_connection() => {
-                let broken = self.state().unconfirmed_crashes.confirm(server.key());
-                self.note_crash(server.key(), &server.id, &broken, "connection_refused");
+                let losses = self.state().unconfirmed_crashes.confirm(server.key());
+                self.record_crash(server.key(), &server.id, &losses, "connection_refused");
                 return;
             }
             Ok(()) => "reached".to_owned(),
@@ -142,7 +147,7 @@
         log::info!("event=server_asked server={} outcome=\"{outcome}\"", server.id);
     }
 
-    /// Notes crashes of servers that were in doubt and whose entries went or name another life.
+    /// Records the crashes of suspected servers whose entries are gone or name another incarnation.
     pub(super) fn resolve_break_offs(&self) {
         let now = self.now();
         let crashed = {
@@ -151,25 +156,25 @@
             let fleet = &state.fleet;
             state.unconfirmed_crashes.settle(now, |key| fleet.entry(key).is_none())
         };
-        for (server, broken) in crashed {
-            self.note_crash(server, "-", &broken, "entry_gone");
+        for (server, losses) in crashed {
+            self.record_crash(server, "-", &losses, "entry_gone");
         }
     }
 
-    fn note_crash(&self, server: ServerKey, id: &str, all_broken: &[ConnectionLoss], sign: &str) {
+    fn record_crash(&self, server: ServerKey, id: &str, losses: &[ConnectionLoss], sign: &str) {
         let now = self.now();
-        for broken in all_broken {
+        for loss in losses {
             let (is_new, evidence) = {
                 let mut state = self.state();
-                let is_new = state.crashes.record_loss(now, server, broken);
-                (is_new, state.crashes.evidence(broken.request))
+                let is_new = state.crashes.record_loss(now, server, loss);
+                (is_new, state.crashes.evidence(loss.request))
             };
             if !is_new {
                 continue;
             }
             self.metrics().add("crashes_noted", 1);
-            let (life, request) = (server.0, broken.request);
-            let ran_ms = broken.lost_at.since(broken.sent_at).as_millis();
+            let (life, request) = (server.0, loss.request);
+            let ran_ms = loss.lost_at.since(loss.sent_at).as_millis();
             log::info!(
                 "event=server_crashed server={id} life={life:016x} contents={request} sign={sign} \
                  ran_ms={ran_ms} {evidence} held_back={}",
--- a/src/gateway/gateway_host.rs
+++ b/src/gateway/gateway_host.rs
@@ -25,23 +25,24 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, watch};
 
-/// How far a planned stop has come.
+/// Phase of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopPhase {
-    /// Callers are served.
+    /// The host serves callers.
     Serving,
-    /// The platform is told to send no more callers; those that come are still served.
+    /// The readiness endpoint reports not ready, so that the platform routes no more callers here; requests that still
+    /// arrive are served.
     Draining,
-    /// Connections are closed; requests under way end, and what was read meanwhile.
+    /// Connections are closed; requests in flight, and those read in the meantime, run to their end.
     Closing,
-    /// The process ends; what is still read is refused.
+    /// The process is about to exit; any request still read is refused.
     Ending,
 }
 
-/// Where a newer view came from.
+/// Source of a newer view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ViewSource {
-    /// This host's own call of the store.
+    /// This host's own call to the store.
     Store,
     /// Another host.
     Peer,
@@ -56,12 +57,12 @@
     }
 }
 
-/// Everything that one daemon on the platform knows.
+/// Shared state, clients and sockets of one gateway daemon.
 #[derive(Debug)]
 pub struct GatewayHost {
-    /// Its settings at the start; bounds that may change are in the state.
+    /// Settings at start; bounds that a reload may change are in the state.
     pub settings: GatewaySettings,
-    /// This life of it.
+    /// Incarnation of this process.
     pub incarnation: IncarnationId,
     clock: HostClock,
     pub(super) next_serial: AtomicU64,
@@ -74,7 +75,7 @@
     pub(super) socket: Arc<UdpSocket>,
     pub(super) key_hasher: KeyHasher,
     pub(super) request_hasher: RequestHasher,
-    /// Requests that wait for an answer about the age of the configuration.
+    /// Wakes requests that wait for a newer age of the configuration.
     pub(super) config_age_updated: Notify,
     pub(super) limit_replies: PendingReplies<LimitReply>,
     pub(super) send_replies: PendingReplies<PermitReply>,
@@ -88,7 +89,7 @@
 }
 
 impl GatewayHost {
-    /// The state of a daemon that starts now, whose peers reach it at `peers_address`.
+    /// Creates the host of a daemon whose peers reach it at `peers_address`.
     pub fn new(
         settings: GatewaySettings,
         peers_address: SocketAddr,
@@ -154,22 +155,22 @@
         }
     }
 
-    /// The present time on this host's own clock.
+    /// The current time on this host's own clock.
     pub fn now(&self) -> TimePoint {
         self.clock.now()
     }
 
-    /// The moment `point` on the runtime's clock.
+    /// Converts `point` to the clock of the async runtime.
     pub(super) fn instant(&self, point: TimePoint) -> tokio::time::Instant {
         tokio::time::Instant::now() + point.since(self.now())
     }
 
-    /// The state, for one short look or change.
+    /// Locks the state, for one short read or change.
     pub fn state(&self) -> MutexGuard<'_, GatewayState> {
         lock(&self.state)
     }
 
-    /// Metrics, for one short change.
+    /// Locks the metrics, for one short change.
     pub fn metrics(&self) -> MutexGuard<'_, MetricBook> {
         lock(&self.metrics)
     }
@@ -184,19 +185,19 @@
         NameKey::of(&self.settings.domain)
     }
 
-    /// How far a planned stop has come.
+    /// The current phase of a graceful shutdown.
     pub fn stop_phase(&self) -> StopPhase {
         *self.stop.borrow()
     }
 
-    /// Waits until no more requests are read.
+    /// Waits until the host reads no more requests.
     pub(super) async fn wait_for_closing(&self) {
         let mut stop = self.stop.subscribe();
-        // The sender lives as long as this host: the wait ends only with the phase.
+        // The sender lives as long as this host, so that the wait ends only when the phase is reached.
         drop(stop.wait_for(|phase| *phase >= StopPhase::Closing).await);
     }
 
-    /// Puts changed settings in force, as far as that goes without a restart.
+    /// Applies changed settings, as far as that is possible without a restart.
     pub fn reload(&self, newer: &GatewaySettings) {
         let fixed = self.settings.fixed_changes(newer).join(",");
         let own = self.peers_address;
@@ -211,8 +212,8 @@
         log::info!("event=settings_reloaded outcome={outcome} unchanged=\"{fixed}\"");
     }
 
-    /// Whether callers may be sent here: not to a host that would refuse them all, since it cannot tell
-    /// whose keys are still good.
+    /// Whether the platform may route callers to this host. A host that cannot tell which keys are still
+    /// valid would refuse them all, and is not ready.
     pub fn is_ready(&self) -> bool {
         let now = self.now();
         let state = self.state();
@@ -221,12 +222,12 @@
         informed && permits && self.stop_phase() == StopPhase::Serving
     }
 
-    /// Hosts that share what all of them may do together.
+    /// Number of hosts among which limits that apply to all of them together are divided.
     pub(super) fn sharing_host_count(&self) -> usize {
-        self.state().known_host_count().max(LEAST_HOSTS)
+        self.state().known_host_count().max(MIN_HOSTS)
     }
 
-    /// Adopts a configuration that is newer than the one in force; true if it is.
+    /// Adopts a configuration if it is newer than the one in force; returns whether it is.
     pub(super) fn adopt_routes(
         &self,
         revision: u64,
@@ -249,25 +250,25 @@
         true
     }
 
-    /// Takes note of what happened between this host and a server.
-    pub(super) fn record_server_event(&self, server: &ServerEntry, note: ServerEvent) {
+    /// Records the outcome of a step of a call to a server.
+    pub(super) fn record_server_event(&self, server: &ServerEntry, event: ServerEvent) {
         let now = self.now();
         let mut state = self.state();
-        // What a former life still comes to, as a broken stream, would stay for good.
+        // A late event of a former incarnation, such as a broken stream, would create an entry that is never removed.
         if !state.fleet.has_restarted(server) {
-            state.server_health.entry(server.key()).or_default().record(now, note);
+            state.server_health.entry(server.key()).or_default().record(now, event);
         }
-        // Servers of the own domain are never behind a cut between domains.
+        // A partition between failure domains never separates this host from servers of its own domain.
         if server.domain == self.domain() {
             return;
         }
-        match note {
+        match event {
             ServerEvent::Sent => state.domain_breakers.record_sent(now, server.domain),
             ServerEvent::Answered | ServerEvent::Served | ServerEvent::Errored => {
                 state.domain_breakers.record_answer(server.domain);
             }
             ServerEvent::Unresponsive => {
-                // A server that starts again and stays silent is still one server.
+                // A server that restarts and stays unresponsive counts as one server.
                 if state.domain_breakers.record_unresponsive(now, server.domain, server.id_key()) {
                     let domain = server.domain.0;
                     log::warn!("event=domain_lost domain={domain:016x} server={}", server.id);
@@ -277,5 +278,5 @@
     }
 }
 
-/// Hosts assumed before others are known.
-const LEAST_HOSTS: usize = 10;
+/// Number of hosts assumed before other hosts are known.
+const MIN_HOSTS: usize = 10;
--- a/src/gateway/gateway_start.rs
+++ b/src/gateway/gateway_start.rs
@@ -20,22 +20,22 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, UdpSocket};
 
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
+const DRAIN_POLL: Duration = Duration::from_millis(50);
 
-/// A running daemon on the platform.
+/// A running gateway daemon.
 #[derive(Debug)]
 pub struct Gateway {
-    /// Its state.
+    /// Shared state of the daemon.
     pub host: Arc<GatewayHost>,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub callers: SocketAddr,
-    /// Where the platform asks whether callers may come.
+    /// Address of the readiness endpoint that the platform polls.
     pub ready: SocketAddr,
-    /// Where peers reach it.
+    /// Address at which peers reach the daemon.
     pub peers: SocketAddr,
-    /// Where it listens for them.
+    /// Address on which it listens for peers.
     pub peers_listen: SocketAddr,
-    /// Where metrics are served.
+    /// Address on which metrics are served.
     pub metrics: SocketAddr,
 }
 
@@ -77,31 +77,31 @@
 }
 
 impl GatewayHost {
-    /// Stops as planned: callers are sent elsewhere first, then no more requests are read, and the
-    /// process ends when those under way have ended or the platform's patience has. Returns how many are
-    /// cut off by its end.
+    /// Shuts down gracefully: first the platform stops routing callers here, then the host reads no more
+    /// requests, and finally it exits once the requests in flight have ended or the platform's grace period
+    /// is over. Returns the number of requests that the exit cuts off.
     pub async fn stop_gracefully(self: &Arc<Self>) -> u64 {
         let plan = StopPlan::new(self.state().bounds.grace);
-        let ends = self.now() + plan.exit_after;
+        let exit_at = self.now() + plan.exit_after;
         self.stop.send_replace(StopPhase::Draining);
-        let farewell = {
+        let drain_actions = {
             let mut state = self.state();
             state.members.start_draining();
             state.members.push_updates(usize::MAX, usize::MAX)
         };
-        self.execute_orders(farewell);
+        self.execute_actions(drain_actions);
         log::info!("event=stop_began in_flight={}", self.in_flight.load(Ordering::Relaxed));
         tokio::time::sleep(plan.drain_time).await;
         self.stop.send_replace(StopPhase::Closing);
-        // A connection that is told to close may have a request to read in the same turn, so that only a
-        // later look can see that nothing is under way.
-        tokio::time::sleep(DRAIN_LOOK).await;
-        while self.in_flight.load(Ordering::Relaxed) > 0 && self.now() < ends {
-            tokio::time::sleep(DRAIN_LOOK).await;
+        // A connection that is told to close may still read a request in the same scheduler tick, so that
+        // only a later check can show that nothing is in flight.
+        tokio::time::sleep(DRAIN_POLL).await;
+        while self.in_flight.load(Ordering::Relaxed) > 0 && self.now() < exit_at {
+            tokio::time::sleep(DRAIN_POLL).await;
         }
         self.stop.send_replace(StopPhase::Ending);
-        // Answers that were just finished still leave their sockets.
-        tokio::time::sleep(DRAIN_LOOK).await;
+        // Leaves time for finished answers to be sent from the socket buffers.
+        tokio::time::sleep(DRAIN_POLL).await;
         let cut = self.in_flight.load(Ordering::Relaxed);
         log::info!("event=stopped in_flight={cut}");
         cut
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -17,87 +17,87 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a host believes and decides from.
+/// What a host currently knows, the basis of its decisions.
 #[derive(Debug)]
 pub struct GatewayState {
-    /// Bounds of the settings.
+    /// Bounds from the settings.
     pub bounds: GatewayBounds,
     /// The configuration in force.
     pub routes: Arc<RouteTable>,
-    /// Revision of the store at which it was written.
+    /// Store revision at which the configuration was written.
     pub routes_revision: u64,
-    /// How fresh it is.
+    /// How fresh the configuration is.
     pub routes_freshness: ViewFreshness,
-    /// How old it may be, as far as that is proved.
+    /// Upper bound on the age of the configuration, as far as it is proved.
     pub config_age: ConfigAge,
-    /// What this host uses on account of organisations.
+    /// Units that this host uses of the limits of organisations.
     pub limit_meter: LimitMeter,
-    /// What it grants to others as the owner of organisations' parts.
+    /// Units that this host grants to others as the owner of organisations' shares.
     pub limit_ledger: LimitLedger,
-    /// Owners that do not answer it.
+    /// Owners that do not reply to this host.
     pub silent_owners: SilentOwners,
     /// The backend servers.
     pub fleet: FleetView,
-    /// How fresh what is known of them is.
+    /// How fresh the view of the backend servers is.
     pub servers_freshness: ViewFreshness,
-    /// Their load.
+    /// Load of the backend servers.
     pub server_loads: LoadTable,
-    /// Holds that engines granted to this host.
+    /// Memory holds that engines granted to this host.
     pub grants: GrantHistory,
-    /// Their health, as this host saw it.
+    /// Health of the backend servers, as this host observed it.
     pub server_health: HashMap<ServerKey, ServerHealth>,
-    /// Other failure domains, as this host reaches them.
+    /// Circuit breakers for other failure domains, as this host reaches them.
     pub domain_breakers: DomainBreakers,
-    /// Repeats of each service's requests that this host may make by itself.
+    /// Retries of each service's requests that this host may make on its own.
     pub retry_windows: HashMap<ServiceKey, RetryWindow>,
-    /// Repeats that it grants to the hosts of its failure domain, if it is the one that does.
+    /// Retries that this host grants to the hosts of its failure domain, if it owns the pool.
     pub retry_pools: RetryPools,
-    /// What an average request of each service takes.
+    /// Average work of a request of each service.
     pub work_meters: HashMap<ServiceKey, WorkMeter>,
-    /// The same, as other hosts said and when.
+    /// The same from other hosts, with the time of receipt.
     pub peer_work: HashMap<(IncarnationId, ServiceKey), (TimePoint, WorkSums)>,
-    /// Engines that change their stage.
+    /// Engines that are changing their stage.
     pub stage_changes: StageChanges,
-    /// Servers that broke connections off and may have crashed.
+    /// Servers that dropped connections and may have crashed.
     pub unconfirmed_crashes: UnconfirmedCrashes,
-    /// Servers that crashed, and under which requests.
+    /// Servers that crashed, and the requests in flight at the time.
     pub crashes: CrashTracker,
-    /// Revision of the store's copy of the crashes; `None` if it has none.
+    /// Revision of the store's copy of the crashes; `None` if the store has no copy.
     pub crashes_revision: Option<u64>,
-    /// What this host sends and grants under the limits that backend servers named.
+    /// Requests that this host sends and grants under the limits that backend servers announced.
     pub send_control: SendControl,
-    /// When the store last answered this host, whatever it had asked.
+    /// When the store last answered any request of this host.
     pub store_answered_at: TimePoint,
     /// Hosts that the store does not answer, this one included.
     pub refused_hosts: RefusedHosts,
     /// The other hosts.
     pub members: MemberTable,
-    /// Objects of the store that cannot be read, as far as they were logged.
+    /// Unreadable objects in the store that were logged.
     pub unreadable_objects: UnreadableObjects,
 }
 
 impl GatewayState {
-    /// How new this host's view is; a host that has anything newer is asked for it.
+    /// How new this host's view is. A host that announces a newer mark is asked for its view.
     pub fn view_mark(&self) -> ViewMark {
         ViewMark { config_version: self.routes.version(), fleet_revision: self.fleet.revision() }
     }
 
-    /// Another living host of the own failure domain; which one differs with `salt`.
-    pub fn other_domain_member(&self, salt: u64) -> Option<MemberUpdate> {
+    /// Another living host of the same failure domain; `salt` varies the choice.
+    pub fn same_domain_member(&self, salt: u64) -> Option<MemberUpdate> {
         let own = self.members.own();
         let near = self.members.owners(own.domain).map(|(_, member)| member);
         let others = near.filter(|member| member.incarnation != own.incarnation);
         others.min_by_key(|member| mix_hash(salt, member.incarnation.0))
     }
 
-    /// The host that asks the store for a failure domain.
+    /// The host that watches the store on behalf of a failure domain.
     pub fn watcher(&self, now: TimePoint, domain: NameKey) -> Option<IncarnationId> {
         let hosts = self.members.owners(domain).map(|(_, member)| member.incarnation);
         self.refused_hosts.elect(now, hosts)
     }
 
-    /// Time since this host heard those that would tell it of news: the hosts that come before it as watchers, if it is one
-    /// of the few that are tried, and else any other host.
+    /// Time since this host last received a message from those that would send it updates: the hosts that precede it
+    /// among the watcher candidates, if it is a candidate, or any other host if it is not.
     pub fn silent_for(&self, now: TimePoint) -> Option<Duration> {
         let own = self.members.own();
         let hosts = self.members.owners(own.domain).map(|(_, member)| member.incarnation);
@@ -105,38 +105,39 @@
         self.members.silent_for(now, |host| before.is_empty() || before.contains(&host))
     }
 
-    /// The other hosts that are tried as watchers, if this is one of them: those that come next listen for it, and all must
-    /// agree on whom the store refuses, or each leaves the office to another one.
+    /// Addresses of the other watcher candidates, if this host is a candidate. The candidates after it expect its
+    /// messages, and all of them must agree on the hosts that the store refuses: otherwise each would leave the role
+    /// to another one.
     pub fn watcher_candidates(&self) -> Vec<SocketAddr> {
         let own = self.members.own();
         let hosts = self.members.owners(own.domain).map(|(_, member)| member.incarnation);
-        let beside = RefusedHosts::other_candidates(own.incarnation, hosts);
-        let known = beside.into_iter().filter_map(|host| self.members.record(host));
+        let others = RefusedHosts::other_candidates(own.incarnation, hosts);
+        let known = others.into_iter().filter_map(|host| self.members.record(host));
         known.map(|record| record.update.address).collect()
     }
 
-    /// The longest time for which keys of callers may be believed without a sign that the configuration
-    /// is the newest one; `None` if they need none or nothing bounds it.
+    /// The longest time for which caller keys stay valid without proof that the configuration is the newest
+    /// one; `None` if callers need no keys or nothing bounds it.
     pub fn max_config_age(&self) -> Option<Duration> {
         let bound = self.bounds.revocation.filter(|_| !self.routes.organisations().is_empty());
         bound.map(|bound| bound.saturating_sub(REVOCATION_MARGIN))
     }
 
-    /// Whether keys of callers cannot be believed any more.
+    /// Whether the configuration is too old to validate caller keys.
     pub fn is_config_too_old(&self, now: TimePoint) -> bool {
         self.max_config_age().is_some_and(|longest| self.config_age.age(now) > longest)
     }
 
-    /// What requests of a service took lately, over all hosts.
+    /// Recent work of a service's requests, summed over all hosts.
     pub fn work_sums(&self, now: TimePoint, service: ServiceKey) -> WorkSums {
         let own = self.work_meters.get(&service).map(|meter| meter.sums(now)).unwrap_or_default();
         self.peer_work
             .iter()
-            .filter(|((_, of), (at, _))| *of == service && now.since(*at) < WORK_NEWS_LIFE)
+            .filter(|((_, of), (at, _))| *of == service && now.since(*at) < PEER_WORK_TTL)
             .fold(own, |sum, (_, (_, sums))| sum.plus(*sums))
     }
 
-    /// Takes note of what servers bear that have just started.
+    /// Records the limits of servers that have just started and are still cold.
     pub(super) fn record_cold_servers(&mut self, now: TimePoint) {
         for (server, until) in self.fleet.cold(now) {
             let spec = self.routes.service(server.service);
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Forgets what nobody repeats.
+    /// Drops entries that nobody has renewed.
     pub fn expire(&mut self, now: TimePoint) {
         self.server_loads.expire(now);
         self.grants.retain(|server| self.fleet.entry(server).is_some());
@@ -156,11 +157,11 @@
         self.refused_hosts.expire(now);
         self.silent_owners.expire(now);
         self.limit_ledger.expire(now);
-        self.peer_work.retain(|_, (at, _)| now.since(*at) < WORK_NEWS_LIFE);
+        self.peer_work.retain(|_, (at, _)| now.since(*at) < PEER_WORK_TTL);
     }
 
-    /// Addresses of all hosts ever heard of, dead ones included: after a cut, hosts that believe
-    /// each other dead still share what all of them may do together.
+    /// Number of hosts ever known by address, including dead ones: hosts on both sides of a partition believe each
+    /// other dead, but still have to divide the limits that apply to all of them.
     pub(super) fn known_host_count(&self) -> usize {
         let addresses: HashSet<SocketAddr> =
             self.members.records().map(|record| record.update.address).collect();
@@ -168,9 +169,9 @@
     }
 }
 
-/// Keys are no longer believed this long before the bound on their revocation: clocks of two hosts run
-/// apart by less in that time.
+/// Keys expire this long before the bound on their revocation, because the clocks of two hosts drift apart
+/// by less than this within that time.
 const REVOCATION_MARGIN: Duration = Duration::from_millis(100);
 
-/// What another host's requests took is believed this long after it last said so.
-const WORK_NEWS_LIFE: Duration = Duration::from_secs(5);
+/// How long the work figures of another host are used after its last update.
+const PEER_WORK_TTL: Duration = Duration::from_secs(5);
--- a/src/gateway/host_account.rs
+++ b/src/gateway/host_account.rs
@@ -1,14 +1,15 @@
-//! Says now and then what this host has sent and asked so far, by kind: what it costs to know, beside the requests.
+//! Periodically logs how many messages and store calls of each kind this host has made: its overhead besides the
+//! requests of callers.
 
 use super::gateway_host::GatewayHost;
 use std::fmt::Write;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often the account is logged; the counters themselves are metrics, too.
+/// How often the counters are logged; they are also exported as metrics.
 const ACCOUNT_PERIOD: Duration = Duration::from_secs(10);
 
-/// Logs the account of a host in turn.
+/// Logs the counters of a host periodically.
 pub(super) async fn run_account(host: Arc<GatewayHost>) {
     let mut ticker = tokio::time::interval(ACCOUNT_PERIOD);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -19,7 +20,7 @@
 }
 
 impl GatewayHost {
-    /// One line with all counters since the start.
+    /// Logs one line with all counters since the start of the process.
     pub(super) fn log_account(&self) {
         let mut line = String::new();
         for (counter, value) in self.metrics().counters() {
--- a/src/gateway/in_flight_guard.rs
+++ b/src/gateway/in_flight_guard.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Counts requests under way, so that a planned stop can wait for them.
+/// Counts requests in flight, so that a graceful shutdown can wait for them.
 #[derive(Debug)]
 pub(super) struct InFlightGuard(Arc<GatewayHost>);
 
--- a/src/gateway/load_guard.rs
+++ b/src/gateway/load_guard.rs
@@ -3,7 +3,7 @@
 use crate::placement::ServerLoad;
 use std::sync::Arc;
 
-/// Work of this host on the load board, taken off it when the work ends in whatever way.
+/// Work of this host in the load table, removed from it when the guard is dropped.
 #[derive(Debug)]
 pub(super) struct LoadGuard {
     host: Arc<GatewayHost>,
@@ -17,7 +17,7 @@
         Self { host: Arc::clone(host), server, load }
     }
 
-    /// The work takes `tokens` more memory.
+    /// Adds `tokens` to the memory used by the work.
     pub fn grow(&mut self, tokens: u32) {
         let more = ServerLoad { memory_tokens: tokens, ..ServerLoad::default() };
         self.host.state().server_loads.add(self.server, more);
--- a/src/gateway/load_updates.rs
+++ b/src/gateway/load_updates.rs
@@ -1,4 +1,4 @@
-//! Tells the other daemons this host's load, and at once what they must not wait for.
+//! Sends this host's load to other hosts periodically, and urgent notices to all of them immediately.
 
 use super::gateway_host::GatewayHost;
 use super::peer_messages::{GatewayDatagram, HostNotice, LoadUpdate};
@@ -10,66 +10,66 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Changes of stage that one datagram tells, at 10 bytes each; the next ones are told in the next datagram.
-const MOST_CHANGES_TOLD: usize = 96;
-/// Servers whose loads one datagram tells, at up to 15 bytes each: of a host with work at more servers those that it
-/// loads most.
-const MOST_LOADS_TOLD: usize = 96;
-/// How often a host tells its load.
+/// Most stage changes in one datagram, at 10 bytes each; further ones go into the next datagram.
+const MAX_CHANGES_SENT: usize = 96;
+/// Most servers whose loads go into one datagram, at up to 15 bytes each; a host with work at more servers sends those
+/// that it loads most.
+const MAX_LOADS_SENT: usize = 96;
+/// How often a host sends its load.
 const LOAD_PERIOD: Duration = Duration::from_millis(200);
-/// Hosts of the own failure domain told each time, beside those that may watch as this one may; in a domain of 30 each hears
-/// every 1.5 s.
-const LOAD_NEAR: usize = 4;
-/// Hosts of other failure domains told each time; their bytes are priced.
-const LOAD_ABROAD: usize = 2;
-/// Unchanged loads are repeated only every so many periods.
-const QUIET_REPEAT: u64 = 4;
+/// Hosts of the same failure domain in each round, besides the other watcher candidates; in a domain of 30, each host
+/// receives the load of every other one about every 1.5 s.
+const LOCAL_TARGETS: usize = 4;
+/// Hosts of other failure domains in each round; traffic between domains is charged.
+const REMOTE_TARGETS: usize = 2;
+/// Periods after which an unchanged load is sent again.
+const UNCHANGED_PERIODS: u64 = 4;
 
-/// Tells the load of this host in turn.
+/// Sends the load of this host periodically.
 pub(super) async fn run_load_updates(host: Arc<GatewayHost>) {
     let mut ticker = tokio::time::interval(LOAD_PERIOD);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let (mut round, mut told) = (0_u64, u64::MAX);
+    let (mut round, mut sent_changes) = (0_u64, u64::MAX);
     loop {
         ticker.tick().await;
         round += 1;
         let changes = host.state().server_loads.change_count();
-        if changes == told && !round.is_multiple_of(QUIET_REPEAT) {
+        if changes == sent_changes && !round.is_multiple_of(UNCHANGED_PERIODS) {
             continue;
         }
-        told = changes;
-        host.send_load_update(LOAD_NEAR, LOAD_ABROAD);
+        sent_changes = changes;
+        host.send_load_update(LOCAL_TARGETS, REMOTE_TARGETS);
     }
 }
 
 impl GatewayHost {
-    /// Takes over another host's load.
-    pub(super) fn apply_load_update(self: &Arc<Self>, from_address: SocketAddr, news: LoadUpdate) {
+    /// Applies the load of another host.
+    pub(super) fn apply_load_update(self: &Arc<Self>, address: SocketAddr, update: LoadUpdate) {
         let now = self.now();
-        self.apply_view_mark(news.view);
-        self.apply_view_ages(news.view, news.ages);
-        let heard = Duration::from_millis(news.store_age_ms.into());
-        let from = news.notice.incarnation;
+        self.apply_view_mark(update.view);
+        self.apply_view_ages(update.view, update.ages);
+        let store_age = Duration::from_millis(update.store_age_ms.into());
+        let sender = update.notice.incarnation;
         {
             let mut state = self.state();
             state.server_loads.apply_update(
                 now,
-                from,
-                news.version,
-                news.loads.into_iter().collect(),
+                sender,
+                update.version,
+                update.loads.into_iter().collect(),
             );
-            state.fleet.record_store_answer(now, heard);
-            for (service, sums) in news.work {
-                state.peer_work.insert((from, service), (now, sums));
+            state.fleet.record_store_answer(now, store_age);
+            for (service, sums) in update.work {
+                state.peer_work.insert((sender, service), (now, sums));
             }
         }
-        if self.state().view_mark().is_behind(news.view) {
-            self.fetch_view(from_address);
+        if self.state().view_mark().is_behind(update.view) {
+            self.fetch_view(address);
         }
-        self.apply_notice(news.notice);
+        self.apply_notice(update.notice);
     }
 
-    /// Takes over what another host tells at once.
+    /// Applies an urgent notice from another host.
     pub(super) fn apply_notice(&self, notice: HostNotice) {
         let now = self.now();
         let mut state = self.state();
@@ -80,11 +80,11 @@
         }
     }
 
-    /// Tells all hosts what they must not wait for: that a server changes its stage, or that the
+    /// Sends all hosts what they must learn immediately: that a server changes its stage, or that the
     /// store refuses this host.
     pub fn broadcast_notices(&self) {
-        let serial = self.gossip_round.fetch_add(1, Ordering::Relaxed);
-        let targets = self.gossip_targets(serial, usize::MAX, usize::MAX);
+        let round = self.gossip_round.fetch_add(1, Ordering::Relaxed);
+        let targets = self.gossip_targets(round, usize::MAX, usize::MAX);
         for notice in self.own_notices() {
             let notice = GatewayDatagram::Notice(notice);
             for target in &targets {
@@ -93,19 +93,19 @@
         }
     }
 
-    fn send_load_update(&self, most_near: usize, most_abroad: usize) {
-        let serial = self.gossip_round.fetch_add(1, Ordering::Relaxed);
-        let news = GatewayDatagram::Load(self.own_load(serial));
-        let mut targets = self.gossip_targets(serial, most_near, most_abroad);
+    fn send_load_update(&self, max_local: usize, max_remote: usize) {
+        let round = self.gossip_round.fetch_add(1, Ordering::Relaxed);
+        let update = GatewayDatagram::Load(self.own_load(round));
+        let mut targets = self.gossip_targets(round, max_local, max_remote);
         targets.extend(self.state().watcher_candidates());
         targets.sort_unstable();
         targets.dedup();
         for target in targets {
-            self.send(target, &news);
+            self.send(target, &update);
         }
     }
 
-    /// What this host tells at once, in parts that fit into a datagram each; one at least.
+    /// This host's urgent notices, split so that each fits into a datagram; at least one.
     fn own_notices(&self) -> Vec<HostNotice> {
         let now = self.now();
         let state = self.state();
@@ -117,15 +117,15 @@
         if changing.is_empty() {
             return vec![notice(&[])];
         }
-        changing.chunks(MOST_CHANGES_TOLD).map(notice).collect()
+        changing.chunks(MAX_CHANGES_SENT).map(notice).collect()
     }
 
-    /// The news number `version` of this host's load, with any one part of its changes of stage: parts that followed each
-    /// other by a number that other news count on as well could leave one out for ever.
+    /// The update number `version` of this host's load, with a random one of its notices. The version can't select the
+    /// notice: other kinds of messages advance the same counter, and one of the notices might never be selected.
     fn own_load(&self, version: u64) -> LoadUpdate {
         let mut notices = self.own_notices();
-        let place = rand::random_range(0..notices.len());
-        let notice = notices.swap_remove(place);
+        let index = rand::random_range(0..notices.len());
+        let notice = notices.swap_remove(index);
         let now = self.now();
         let state = self.state();
         LoadUpdate {
@@ -135,16 +135,16 @@
             view: state.view_mark(),
             ages: state.view_ages(now),
             work: state.work_meters.iter().map(|(key, meter)| (*key, meter.sums(now))).collect(),
-            loads: state.server_loads.heaviest_own(MOST_LOADS_TOLD),
+            loads: state.server_loads.heaviest_own(MAX_LOADS_SENT),
         }
     }
 
-    /// Some hosts of the own failure domain and fewer of others, other ones each round.
+    /// Some hosts of the same failure domain and some of the others; a different selection in each round.
     pub(super) fn gossip_targets(
         &self,
         round: u64,
-        most_near: usize,
-        most_abroad: usize,
+        max_local: usize,
+        max_remote: usize,
     ) -> Vec<SocketAddr> {
         let salt = mix_hash(self.incarnation.0, round);
         let state = self.state();
@@ -155,9 +155,9 @@
             .filter(|update| update.state != MemberState::Dead)
             .collect();
         living.sort_by_key(|update| mix_hash(salt, update.incarnation.0));
-        let (near, abroad): (Vec<_>, Vec<_>) =
+        let (local, remote): (Vec<_>, Vec<_>) =
             living.into_iter().partition(|update| update.domain == self.domain());
-        let near = near.into_iter().take(most_near);
-        near.chain(abroad.into_iter().take(most_abroad)).map(|update| update.address).collect()
+        let local = local.into_iter().take(max_local);
+        local.chain(remote.into_iter().take(max_remote)).map(|update| update.address).collect()
     }
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,9 +1,9 @@
-//! Gateway joins the decisions and the edges into the daemon that runs on the users' platform.
+//! The gateway daemon that runs on the users' platform: connects the decision modules with the network.
 //!
-//! A request takes one way through it: `caller_loop` reads it, `call_route` finds its service,
-//! `caller_auth` lets its caller in, `limit_charge` charges its organisation,
-//! `plain_call` or `engine_call` runs it (`run_open` opens a run: `decode_reservation` holds memory,
-//! `prompt_read` has the prompt read, `run_start` sends it), and `event_relay` passes a stream on.
+//! The path of a request: `caller_loop` reads it, `call_route` finds its service, `caller_auth` authorizes
+//! its caller, `limit_charge` charges its organisation, and `plain_call` or `engine_call` runs it.
+//! `run_open` opens a run at engines: `decode_reservation` reserves memory, `prompt_read` processes the prompt,
+//! and `run_start` starts the run; `event_relay` then relays the stream.
 
 mod age_loop;
 mod call_context;
--- a/src/gateway/peer_loop.rs
+++ b/src/gateway/peer_loop.rs
@@ -1,4 +1,5 @@
-//! Talks to the other daemons: takes their datagrams, keeps the members, and answers what they ask.
+//! Communication with the other daemons: receives their datagrams, maintains the membership, and answers their
+//! requests.
 
 use super::gateway_host::GatewayHost;
 use super::load_updates::run_load_updates;
@@ -11,12 +12,12 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-const TICK: Duration = Duration::from_millis(50);
-/// The longest datagram that is read; of a longer one the end is lost, and with it the proof of its sender.
-const LONGEST_DATAGRAM: usize = 4096;
-const COMPARE_LIMIT: Duration = Duration::from_secs(2);
+const TICK_PERIOD: Duration = Duration::from_millis(50);
+/// The longest datagram that is read. A longer one would be truncated, and so lose the proof of its sender.
+const MAX_DATAGRAM_BYTES: usize = 4096;
+const SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Runs everything between daemons.
+/// Runs all tasks of the communication between daemons.
 pub(super) async fn run_peers(host: Arc<GatewayHost>, socket: Arc<UdpSocket>) {
     tokio::join!(
         receive(Arc::clone(&host), Arc::clone(&socket)),
@@ -26,9 +27,9 @@
 }
 
 async fn receive(host: Arc<GatewayHost>, socket: Arc<UdpSocket>) {
-    let mut buffer = [0; LONGEST_DATAGRAM];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
-        // An earlier datagram to a closed port may surface here as an error; it means nothing.
+        // An earlier datagram sent to a closed port may be reported here as an error, which is ignored.
         let Ok((length, address)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
@@ -36,34 +37,38 @@
             Ok(GatewayDatagram::Probe(message)) => {
                 host.apply_view_mark(message.view);
                 let now = host.now();
-                let orders = host.state().members.receive(now, &message);
-                host.execute_orders(orders);
+                let actions = host.state().members.receive(now, &message);
+                host.execute_actions(actions);
             }
-            Ok(GatewayDatagram::Load(news)) => host.apply_load_update(address, news),
+            Ok(GatewayDatagram::Load(update)) => host.apply_load_update(address, update),
             Ok(GatewayDatagram::Notice(notice)) => host.apply_notice(notice),
-            Ok(GatewayDatagram::AgeRequest(question)) => host.reply_config_age(address, question),
-            Ok(GatewayDatagram::AgeReply(answer)) => host.apply_age_reply(address, answer),
-            Ok(GatewayDatagram::LimitRequest(from, ask)) => {
-                host.receive_limit_request(address, from, &ask)
+            Ok(GatewayDatagram::AgeRequest(request)) => host.reply_config_age(address, request),
+            Ok(GatewayDatagram::AgeReply(reply)) => host.apply_age_reply(address, reply),
+            Ok(GatewayDatagram::LimitRequest(from, request)) => {
+                host.receive_limit_request(address, from, &request)
             }
-            Ok(GatewayDatagram::LimitReply(answer)) => {
-                // Nobody waits for one that comes late; the next question tells what was used.
-                host.limit_replies.complete(answer.sequence, answer);
+            Ok(GatewayDatagram::LimitReply(reply)) => {
+                // No request waits for a late reply; the next request reports the units that were used.
+                host.limit_replies.complete(reply.sequence, reply);
+            }
+            Ok(GatewayDatagram::LoanRequest(request)) => {
+                host.receive_loan_request(address, &request)
             }
-            Ok(GatewayDatagram::LoanRequest(ask)) => host.receive_loan_request(address, &ask),
             Ok(GatewayDatagram::LoanReply(loan)) => host.receive_loan(&loan),
             Ok(GatewayDatagram::Crashes(report)) => host.apply_crash_report(&report),
-            Ok(GatewayDatagram::ServerLimits(news)) => host.receive_server_limits(&news),
-            Ok(GatewayDatagram::PermitRequest(from, ask)) => {
-                host.receive_permit_request(address, from, &ask)
+            Ok(GatewayDatagram::ServerLimits(updates)) => host.receive_server_limits(&updates),
+            Ok(GatewayDatagram::PermitRequest(from, request)) => {
+                host.receive_permit_request(address, from, &request)
             }
             Ok(GatewayDatagram::PermitReply(reply)) => {
                 host.send_replies.complete(reply.sequence, reply)
             }
-            Ok(GatewayDatagram::LimitObservation(answered)) => {
-                host.receive_limit_observation(&answered)
+            Ok(GatewayDatagram::LimitObservation(observation)) => {
+                host.receive_limit_observation(&observation)
+            }
+            Ok(GatewayDatagram::RetryRequest(request)) => {
+                host.receive_retry_request(address, &request)
             }
-            Ok(GatewayDatagram::RetryRequest(ask)) => host.receive_retry_request(address, &ask),
             Ok(GatewayDatagram::RetryReply(reply)) => {
                 host.retry_replies.complete(reply.sequence, reply)
             }
@@ -75,63 +80,63 @@
 }
 
 async fn tick_members(host: Arc<GatewayHost>) {
-    let mut ticker = tokio::time::interval(TICK);
+    let mut ticker = tokio::time::interval(TICK_PERIOD);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     join_peers(&host).await;
     loop {
         ticker.tick().await;
         let now = host.now();
-        let orders = host.state().members.tick(now);
-        host.execute_orders(orders);
+        let actions = host.state().members.tick(now);
+        host.execute_actions(actions);
     }
 }
 
-/// Learns the members from the first seed that answers, and their view from one of the own failure
-/// domain: it is 270 KB for 3,000 servers. Each host begins with another seed: hosts that start together
-/// have the same few.
+/// Learns the members from the first seed that answers, and fetches the view from a host of the same
+/// failure domain, since a view is 270 KB for 3,000 servers. The seed to start with depends on the
+/// incarnation, so that hosts that start at the same time do not all ask the same one.
 async fn join_peers(host: &Arc<GatewayHost>) {
     let mut seeds = host.settings.seeds.clone();
     let first = usize::try_from(host.incarnation.0).unwrap_or_default() % seeds.len().max(1);
     seeds.rotate_left(first);
     for seed in seeds {
-        if seed != host.peers_address && compare(host, seed).await {
+        if seed != host.peers_address && sync_state(host, seed).await {
             host.fetch_first_view(seed);
             return;
         }
     }
 }
 
-async fn compare(host: &Arc<GatewayHost>, address: SocketAddr) -> bool {
+async fn sync_state(host: &Arc<GatewayHost>, address: SocketAddr) -> bool {
     let request = {
         let now = host.now();
         let state = host.state();
         let (members, crashes) = (state.members.all_updates(), state.crashes.full_report(now));
         GatewayRequest::Sync { members, crashes, limits: state.send_control.limits.all() }
     };
-    let reply = host.peers.call(address, &request, COMPARE_LIMIT).await;
+    let reply = host.peers.call(address, &request, SYNC_TIMEOUT).await;
     let Ok(GatewayReply::Members { members, crashes, limits }) = reply else {
         return false;
     };
     let now = host.now();
-    let orders = host.state().members.merge_all(now, &members);
-    host.execute_orders(orders);
+    let actions = host.state().members.merge_all(now, &members);
+    host.execute_actions(actions);
     host.apply_crash_report(&crashes);
     host.receive_server_limits(&limits);
     true
 }
 
 impl GatewayHost {
-    /// Carries out what the membership table wants done.
-    pub(super) fn execute_orders(self: &Arc<Self>, orders: Vec<TableAction>) {
-        for order in orders {
-            match order {
+    /// Carries out the actions that the membership table requests.
+    pub(super) fn execute_actions(self: &Arc<Self>, actions: Vec<TableAction>) {
+        for action in actions {
+            match action {
                 TableAction::Send(address, message) => {
                     self.send(address, &GatewayDatagram::Probe(message));
                 }
                 TableAction::FetchView(address) => self.fetch_view(address),
                 TableAction::Compare(address) => {
                     let host = Arc::clone(self);
-                    tokio::spawn(async move { compare(&host, address).await });
+                    tokio::spawn(async move { sync_state(&host, address).await });
                 }
                 TableAction::Died(incarnation) => {
                     log::info!("event=member_died incarnation={incarnation}");
@@ -142,7 +147,7 @@
 
     pub(super) fn send(&self, address: SocketAddr, message: &GatewayDatagram) {
         match seal_datagram(&self.settings.shared_key, message) {
-            Ok(bytes) if bytes.len() > LONGEST_DATAGRAM => {
+            Ok(bytes) if bytes.len() > MAX_DATAGRAM_BYTES => {
                 log::error!("event=datagram_too_long peer={address} bytes={}", bytes.len());
             }
             Ok(bytes) => {
@@ -152,7 +157,7 @@
                 metrics.add(sent, 1);
                 metrics.add(sent_bytes, bytes.len() as u64);
                 drop(metrics);
-                // A full socket buffer loses a datagram as the network may; each is repeated.
+                // A full socket buffer drops the datagram, as the network may; every message is sent again.
                 drop(self.socket.try_send_to(&bytes, address));
             }
             Err(error) => log::warn!("event=datagram_unsendable cause=\"{error}\""),
@@ -171,12 +176,12 @@
                 self.apply_crash_report(&crashes);
                 self.receive_server_limits(&limits);
                 let mut state = self.state();
-                let orders = state.members.merge_all(now, &members);
+                let actions = state.members.merge_all(now, &members);
                 let (members, crashes) =
                     (state.members.all_updates(), state.crashes.full_report(now));
                 let limits = state.send_control.limits.all();
                 drop(state);
-                self.execute_orders(orders);
+                self.execute_actions(actions);
                 GatewayReply::Members { members, crashes, limits }
             }
             GatewayRequest::View { routes_version, known, fleet_revision, age } => {
--- a/src/gateway/peer_messages.rs
+++ b/src/gateway/peer_messages.rs
@@ -13,42 +13,42 @@
 /// A datagram between daemons on the platform.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum GatewayDatagram {
-    /// Membership.
+    /// A membership probe or its reply.
     Probe(ProbeMessage),
-    /// What the sender has under way.
+    /// The sender's load.
     Load(LoadUpdate),
-    /// What the others must know at once; small, since it goes to all of them.
+    /// What other hosts must learn immediately; small, because it is sent to all of them.
     Notice(HostNotice),
-    /// How old is your configuration?
+    /// Requests the age of the receiver's configuration.
     AgeRequest(AgeRequest),
-    /// So old.
+    /// The age of the sender's configuration.
     AgeReply(AgeReply),
-    /// The sender asks the owner of an organisation's part, or tells it what it used.
+    /// Requests units from the owner of an organisation's share, or reports units that the sender used.
     LimitRequest(IncarnationId, LimitRequest),
-    /// The owner's answer.
+    /// The owner's reply to a limit request.
     LimitReply(LimitReply),
-    /// An owner asks that of another failure domain.
+    /// A share owner requests units from the owner in another failure domain.
     LoanRequest(LoanRequest),
-    /// Units lent to it.
+    /// The units lent.
     LoanReply(LimitLoan),
-    /// Servers that crashed, and under which requests.
+    /// Servers that crashed, and the requests in flight at the time.
     Crashes(CrashReport),
-    /// Limits that backend servers named.
+    /// Limits that backend servers announced.
     ServerLimits(Vec<LimitUpdate>),
-    /// The sender asks the owner of a server that has a limit.
+    /// Requests permits from the owner of a server that has a limit.
     PermitRequest(IncarnationId, PermitRequest),
-    /// The owner's reply.
+    /// The owner's reply to a permit request.
     PermitReply(PermitReply),
-    /// How such a server answered a request of the sender.
+    /// How a server with a limit answered a request of the sender.
     LimitObservation(LimitObservation),
-    /// The sender asks the owner of its failure domain's pool of repeats.
+    /// Requests retries from the owner of the retry pool of the failure domain.
     RetryRequest(RetryRequest),
-    /// The owner's reply.
+    /// The owner's reply to a retry request.
     RetryReply(RetryReply),
 }
 
 impl GatewayDatagram {
-    /// Metrics that count such datagrams and their bytes.
+    /// Names of the metrics that count datagrams of this kind and their bytes.
     pub(super) const fn counters(&self) -> (&'static str, &'static str) {
         match self {
             Self::Probe(_) => ("probes_sent", "probes_sent_bytes"),
@@ -69,66 +69,66 @@
     }
 }
 
-/// What a host knows that others must not wait for.
+/// What a host announces to others without delay.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HostNotice {
-    /// Which life of the host.
+    /// Incarnation of the sender.
     pub incarnation: IncarnationId,
-    /// The store refuses the sender, or does not answer it.
+    /// Whether the store refuses the sender or does not answer it.
     pub store_refused: bool,
-    /// Servers that it ordered to change their stage and that have not done so, and to which.
+    /// Servers that the sender ordered to change their stage and that have not done so yet, with the new stage.
     pub changing: Vec<(ServerKey, ServerStage)>,
 }
 
-/// For how long each kind of a view may have lacked changes, in milliseconds.
+/// For how long each part of a view may have missed changes, in milliseconds.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct ViewAges {
-    /// The configuration.
+    /// Age of the configuration.
     pub routes_ms: u32,
-    /// The servers.
+    /// Age of the servers.
     pub servers_ms: u32,
 }
 
-/// One host's own work and how fresh its view is.
+/// The load of one host, and how fresh its view is.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LoadUpdate {
-    /// Who sends it, and what else it would tell at once.
+    /// The sender, and its current notice.
     pub notice: HostNotice,
-    /// Rises with each that the host sends.
+    /// Increases with each update that the host sends.
     pub version: u64,
-    /// Milliseconds since the store last answered the sender, or a host that it heard of.
+    /// Milliseconds since the store last answered the sender, or another host as far as the sender knows.
     pub store_age_ms: u32,
-    /// How new its view is.
+    /// How new the sender's view is.
     pub view: ViewMark,
-    /// Since when it may lack something.
+    /// For how long the view may have missed changes.
     pub ages: ViewAges,
-    /// What requests of each service took of it lately.
+    /// Recent work of the sender's requests, by service.
     pub work: Vec<(ServiceKey, WorkSums)>,
-    /// Its work at each server where it has any.
+    /// The sender's load at each server where it has any.
     pub loads: Vec<(ServerKey, ServerLoad)>,
 }
 
 /// A request between daemons on the platform.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum GatewayRequest {
-    /// Compare membership, and what is known of crashes and of limits.
+    /// Exchanges the known members, crashes and limits of servers.
     Sync {
-        /// All news about members.
+        /// All member updates.
         members: Vec<MemberUpdate>,
         /// Crashes.
         crashes: CrashReport,
         /// Limits of servers.
         limits: Vec<LimitUpdate>,
     },
-    /// What is newer than this.
+    /// Requests the parts of the view that are newer than the sender's.
     View {
-        /// Version of the configuration that the sender has.
+        /// Version of the sender's configuration.
         routes_version: u64,
-        /// Which routes that has, if the sender knows of a newer one.
+        /// Digest of the sender's routes, if it knows that a newer version exists.
         known: Option<TableDigest>,
-        /// Revision of the servers that the sender has.
+        /// Revision of the sender's view of the servers.
         fleet_revision: u64,
-        /// How old is the configuration that is handed over?
+        /// Requests the age of the configuration in the reply.
         age: AgeRequest,
     },
 }
@@ -136,22 +136,22 @@
 /// A reply between daemons on the platform.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum GatewayReply {
-    /// The same of the answering host.
+    /// Reply to a sync request: the same data of the answering host.
     Members {
-        /// All news about members.
+        /// All member updates.
         members: Vec<MemberUpdate>,
         /// Crashes.
         crashes: CrashReport,
         /// Limits of servers.
         limits: Vec<LimitUpdate>,
     },
-    /// What is newer.
+    /// Reply to a view request: the parts that are newer.
     View {
         /// The configuration, if newer.
         routes: Option<RouteUpdate>,
         /// The servers, if newer.
         fleet: Option<FleetUpdate>,
-        /// The age of the sender's configuration, if it knows it.
+        /// The age of the answering host's configuration, if known.
         age: Option<AgeReply>,
     },
 }
--- a/src/gateway/pending_replies.rs
+++ b/src/gateway/pending_replies.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// An owner in the same failure domain answers within a millisecond; after this time the question is
-/// sent once more, since datagrams are lost now and then.
-const FIRST_WAIT: Duration = Duration::from_millis(25);
-/// Then the owner counts as silent.
-const SECOND_WAIT: Duration = Duration::from_millis(40);
+/// Timeout of the first attempt. An owner in the same failure domain replies within a millisecond; after
+/// this time the request is sent again, since datagrams may be lost.
+const FIRST_TIMEOUT: Duration = Duration::from_millis(25);
+/// Timeout of the second attempt, after which the owner counts as silent.
+const SECOND_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// Requests that wait for an owner's reply, by the sequence of their question.
+/// Requests that wait for an owner's reply, by sequence number.
 #[derive(Debug)]
 pub(super) struct PendingReplies<T>(Mutex<HashMap<u32, oneshot::Sender<T>>>);
 
@@ -23,37 +23,38 @@
 }
 
 impl<T> PendingReplies<T> {
-    /// Waits for the reply to the question `sequence`; dropping the receiver ends the wait.
+    /// Registers the request `sequence` and returns the receiver of its reply; dropping the receiver cancels
+    /// the wait.
     fn register(&self, sequence: u32) -> oneshot::Receiver<T> {
         let (sender, receiver) = oneshot::channel();
-        let mut waits = crate::host::lock(&self.0);
-        waits.retain(|_, sender| !sender.is_closed());
-        waits.insert(sequence, sender);
+        let mut pending = crate::host::lock(&self.0);
+        pending.retain(|_, sender| !sender.is_closed());
+        pending.insert(sequence, sender);
         receiver
     }
 
-    /// The owner replied; a reply for which nobody waits comes late.
+    /// Passes the owner's reply to the waiting request; a late reply, for which no request waits, is dropped.
     pub fn complete(&self, sequence: u32, reply: T) {
         if let Some(sender) = crate::host::lock(&self.0).remove(&sequence) {
-            // Whoever waited may have given up.
+            // The waiting request may have given up.
             drop(sender.send(reply));
         }
     }
 }
 
 impl GatewayHost {
-    /// Asks an owner, twice if it does not reply at once.
+    /// Sends a request to an owner and waits for its reply; sends it a second time if the first gets no reply.
     pub(super) async fn request_reply<T>(
         &self,
-        waits: &PendingReplies<T>,
+        pending: &PendingReplies<T>,
         sequence: u32,
         owner: MemberUpdate,
-        question: &GatewayDatagram,
+        request: &GatewayDatagram,
     ) -> Option<T> {
-        let mut reply = waits.register(sequence);
-        for wait in [FIRST_WAIT, SECOND_WAIT] {
-            self.send(owner.address, question);
-            if let Ok(Ok(reply)) = tokio::time::timeout(wait, &mut reply).await {
+        let mut reply = pending.register(sequence);
+        for timeout in [FIRST_TIMEOUT, SECOND_TIMEOUT] {
+            self.send(owner.address, request);
+            if let Ok(Ok(reply)) = tokio::time::timeout(timeout, &mut reply).await {
                 return Some(reply);
             }
         }
--- a/src/gateway/ready_server.rs
+++ b/src/gateway/ready_server.rs
@@ -13,16 +13,16 @@
 
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// What a listener of the platform's own questions answers.
+/// What an HTTP endpoint for the platform serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum EndpointKind {
-    /// Whether callers may be sent here.
+    /// Readiness: whether the platform may route callers to this host.
     Ready,
     /// Metrics as text.
     Metrics,
 }
 
-/// Answers questions of the platform until the listener fails.
+/// Serves an HTTP endpoint for the platform.
 pub(super) async fn serve_endpoint(
     listener: TcpListener,
     host: Arc<GatewayHost>,
--- a/src/gateway/role_log.rs
+++ b/src/gateway/role_log.rs
@@ -2,33 +2,33 @@
 use crate::fleet::{RoleInput, WatcherRole};
 use std::time::Duration;
 
-/// Writes down when this host begins to ask the store for a kind itself or ends doing so, and what it knew then.
+/// Logs when this host starts or stops querying the store for a kind of object itself, and the input of that decision.
 #[derive(Debug)]
 pub(super) struct RoleLog {
     kind: FollowedKind,
-    duty: WatcherRole,
+    role: WatcherRole,
 }
 
 impl RoleLog {
-    /// A host hears of a kind from others until it is told otherwise.
+    /// Starts in the role of a host that receives the kind from other hosts.
     pub const fn new(kind: FollowedKind) -> Self {
-        Self { kind, duty: WatcherRole::Follow }
+        Self { kind, role: WatcherRole::Follow }
     }
 
-    /// Takes note of what was decided from `view`.
-    pub fn note(&mut self, duty: WatcherRole, view: &RoleInput) {
-        if duty == self.duty {
+    /// Logs `role`, decided from `input`, if it differs from the role before.
+    pub fn update(&mut self, role: WatcherRole, input: &RoleInput) {
+        if role == self.role {
             return;
         }
-        self.duty = duty;
+        self.role = role;
         log::info!(
             "event=watch_duty kind={} duty={} view_age_ms={} behind_ms={} unheard_ms={} refused_ms={}",
             self.kind.name(),
-            duty.name(),
-            view.view_age.as_millis(),
-            millis(view.behind_for),
-            millis(view.silent_for),
-            millis(view.store_refused_for)
+            role.name(),
+            input.view_age.as_millis(),
+            millis(input.behind_for),
+            millis(input.silent_for),
+            millis(input.store_refused_for)
         );
     }
 }
--- a/src/gateway/server_ranking.rs
+++ b/src/gateway/server_ranking.rs
@@ -9,23 +9,23 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// What servers are ranked for.
+/// Criteria by which servers are filtered and ranked.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct ServerCriteria {
-    /// The stage that they must have, of a service of model engines.
+    /// The required stage, if the service consists of model engines.
     pub stage: Option<ServerStage>,
-    /// What makes one better than another.
+    /// The measure by which servers are compared.
     pub kind: RankingCriterion,
-    /// The failure domain that they should be in.
+    /// The preferred failure domain.
     pub local_domain: NameKey,
-    /// Part of a full server that another failure domain counts.
+    /// Penalty for servers in other failure domains, as a fraction of the load of a full server.
     pub remote_penalty: f64,
-    /// How urgent the request is: servers whose limit leaves no room for it now are left out.
+    /// Priority of the request: servers whose limit leaves no capacity for it at present are excluded.
     pub rank: CallRank,
 }
 
 impl GatewayHost {
-    /// Servers of a service from best to worst.
+    /// Ready servers of a service that meet the criteria, from best to worst.
     pub(super) fn rank_ready_servers(
         &self,
         service: ServiceKey,
@@ -54,8 +54,8 @@
         rank_servers(now, &view, criteria.kind, candidates).into_iter().cloned().collect()
     }
 
-    /// How long a prompt waits at a prefill server until those before it are read; zero while the
-    /// pace of reading is not known.
+    /// How long a prompt waits at a prefill server until the prompts queued before it are processed; zero
+    /// while the prefill speed is not known.
     pub(super) fn prompt_wait(&self, service: ServiceKey, server: &ServerEntry) -> Duration {
         let state = self.state();
         let queue = state.server_loads.total(server.key()).prompt_tokens;
--- a/src/gateway/stage_loop.rs
+++ b/src/gateway/stage_loop.rs
@@ -1,4 +1,5 @@
-//! Moves servers between the pools of a service: one host decides, under a lease in the store.
+//! Moves servers between the prefill and decode pools of a service. One host, the leader, decides under a lease in
+//! the store.
 
 use super::gateway_host::{GatewayHost, StopPhase};
 use super::gateway_state::GatewayState;
@@ -14,24 +15,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const LOOK_PERIOD: Duration = Duration::from_millis(500);
-/// Looks after which all hosts are told again which servers change: each hears of an order at once and
-/// believes it for 7 s, so this is for lost datagrams. With news at every look the
-/// busiest of 300 hosts sent and got 835 kB a second, with every fourth 244.
-const REPEAT_LOOKS: u32 = 4;
-/// How long a change is expected to take that another host ordered: an idle engine's change.
+const PLAN_PERIOD: Duration = Duration::from_millis(500);
+/// Planning rounds after which all hosts are notified again of the servers that change their stage. Hosts
+/// are notified of an order immediately and keep it for 7 s, so the repetition only covers lost datagrams.
+/// Notices in every round cost the busiest of 300 hosts 835 kB/s, in every fourth round 244 kB/s.
+const NOTICE_ROUNDS: u32 = 4;
+/// Expected duration of a stage change that another host ordered: that of an idle engine.
 const CHANGE_TIME: Duration = Duration::from_secs(6);
-/// Orders that go out side by side under one fence: each report and order takes 0.3 s at most, and a
-/// fence holds for 1 s.
-const ORDERS_AT_ONCE: usize = 32;
+/// Most orders sent concurrently under one fence: each report and order takes 0.3 s at most, and a fence
+/// is valid for 1 s.
+const MAX_BATCH_ORDERS: usize = 32;
 
-/// What the giver of orders keeps.
+/// State of the host that orders stage changes.
 #[derive(Debug, Default)]
 pub(super) struct StageController {
     pub lease: OrderLease,
     pub planners: HashMap<ServiceKey, StagePlanner>,
     pub orders: ChangeOrders,
-    /// It has taken note of what the last giver left under way.
+    /// Whether this host has taken over the changes that the previous leader left in progress.
     is_leader: bool,
 }
 
@@ -44,50 +45,51 @@
     pub to: ServerStage,
 }
 
-/// Looks now and then whether the pools fit the work.
+/// Periodically checks whether the sizes of the pools fit the work.
 pub(super) async fn run_stages(host: Arc<GatewayHost>) {
-    let mut ticker = tokio::time::interval(LOOK_PERIOD);
+    let mut ticker = tokio::time::interval(PLAN_PERIOD);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut desk = StageController::default();
-    let mut looks = 0_u32;
+    let mut controller = StageController::default();
+    let mut rounds = 0_u32;
     loop {
         ticker.tick().await;
         if !host.is_order_leader() {
-            // A takeover that waits goes on waiting if this host is elected again.
-            desk = StageController { lease: desk.lease, ..StageController::default() };
+            // The lease is kept: a takeover that waits for the former lease continues to wait if this host is
+            // elected again.
+            controller = StageController { lease: controller.lease, ..StageController::default() };
             host.state().stage_changes.retain_orders(|_| false);
             continue;
         }
         if !may_issue_orders(host.now().since(TimePoint::default())) {
             continue;
         }
-        if !desk.is_leader {
-            host.acquire_leadership(&mut desk).await;
+        if !controller.is_leader {
+            host.acquire_leadership(&mut controller).await;
         }
-        if desk.lease.is_waiting(host.now()) {
+        if controller.lease.is_waiting(host.now()) {
             continue;
         }
-        let changes = host.plan_changes(&mut desk);
-        looks += 1;
-        if looks.is_multiple_of(REPEAT_LOOKS)
+        let changes = host.plan_changes(&mut controller);
+        rounds += 1;
+        if rounds.is_multiple_of(NOTICE_ROUNDS)
             && host.state().stage_changes.ordered().next().is_some()
         {
             host.broadcast_notices();
         }
-        for batch in changes.chunks(ORDERS_AT_ONCE) {
-            host.order_batch(&mut desk, batch).await;
+        for batch in changes.chunks(MAX_BATCH_ORDERS) {
+            host.order_batch(&mut controller, batch).await;
         }
     }
 }
 
 impl GatewayHost {
-    /// Whether this host is the one that gives orders.
+    /// Whether this host is the leader that orders stage changes.
     fn is_order_leader(&self) -> bool {
         self.stop_phase() == StopPhase::Serving && self.is_elected_leader()
     }
 
-    /// Whether this host decides what one of them must decide for all: it is the oldest that can be reached and
-    /// that the store answers.
+    /// Whether this host is the leader, which makes the decisions that a single host must make for all: the oldest
+    /// reachable host that the store answers.
     pub(super) fn is_elected_leader(&self) -> bool {
         let now = self.now();
         let state = self.state();
@@ -95,48 +97,48 @@
         state.refused_hosts.elect(now, reachable) == Some(self.incarnation)
     }
 
-    /// Begins to give orders: changes that the last giver ordered are under way and not planned again,
-    /// and the wait for its lease begins now and not with the first plan.
-    async fn acquire_leadership(&self, desk: &mut StageController) {
+    /// Becomes the leader. Changes that the previous leader ordered are recorded as in progress and not planned
+    /// again, and the wait for its lease starts now instead of with the first plan.
+    async fn acquire_leadership(&self, controller: &mut StageController) {
         let now = self.now();
         {
             let state = self.state();
             for (key, to) in state.stage_changes.announced(now) {
-                desk.orders.record_ordered(now, key, to, CHANGE_TIME);
+                controller.orders.record_ordered(now, key, to, CHANGE_TIME);
             }
         }
-        desk.is_leader = true;
-        let outcome = match self.renew_lease(&mut desk.lease).await {
+        controller.is_leader = true;
+        let outcome = match self.renew_lease(&mut controller.lease).await {
             Ok(()) => "written".to_owned(),
-            // The first order tries again.
+            // The first order tries to renew the lease again.
             Err(error) => error.to_string(),
         };
         log::info!(
             "event=office_taken lease=\"{outcome}\" under_way={}",
-            desk.orders.pending_count()
+            controller.orders.pending_count()
         );
     }
 
-    fn plan_changes(&self, desk: &mut StageController) -> Vec<PlannedChange> {
+    fn plan_changes(&self, controller: &mut StageController) -> Vec<PlannedChange> {
         let now = self.now();
         let mut state = self.state();
         let state = &mut *state;
-        desk.orders.expire(now, |key| state.fleet.entry(key).map(|entry| entry.stage));
-        state.stage_changes.retain_orders(|key| desk.orders.target_stage(key).is_some());
+        controller.orders.expire(now, |key| state.fleet.entry(key).map(|entry| entry.stage));
+        state.stage_changes.retain_orders(|key| controller.orders.target_stage(key).is_some());
         let mut changes = Vec::new();
         for (service, spec) in state.routes.services() {
             let Some(engine) = &spec.engine else { continue };
             let sums = state.work_sums(now, service);
             let Some(work) = sums.request_work(engine.memory_tokens) else { continue };
-            let sizes = pool_sizes(state, now, service, &desk.orders);
-            let planner = desk.planners.entry(service).or_default();
+            let sizes = pool_sizes(state, now, service, &controller.orders);
+            let planner = controller.planners.entry(service).or_default();
             let Some(to) = planner.decide(now, sizes, work) else { continue };
             let requests = sums.requests_per_second(state.members.living().count());
             if has_spare_capacity(to, sizes, work, requests) {
                 continue;
             }
             let step = change_batch_size(sizes, work);
-            for server in best_to_change(state, now, service, to, step, desk) {
+            for server in select_servers(state, now, service, to, step, controller) {
                 log::info!(
                     "event=stage_planned server={} to={} prefills={} decodes={} read_s={:.3} \
                      decode_s={:.3} per_s={requests:.1}",
@@ -154,7 +156,7 @@
     }
 }
 
-/// Servers of each pool; one that is changing counts for where it goes.
+/// Number of servers in each pool; a server that changes its stage counts in its target pool.
 fn pool_sizes(
     state: &GatewayState,
     now: TimePoint,
@@ -162,7 +164,7 @@
     orders: &ChangeOrders,
 ) -> PoolSizes {
     let mut sizes = PoolSizes { prefills: 0, decodes: 0 };
-    for entry in state.fleet.ready(service).filter(|entry| takes_work(state, now, entry)) {
+    for entry in state.fleet.ready(service).filter(|entry| accepts_work(state, now, entry)) {
         match orders.target_stage(entry.key()).or(entry.stage) {
             Some(ServerStage::Prefill) => sizes.prefills += 1,
             Some(ServerStage::Decode) => sizes.decodes += 1,
@@ -172,44 +174,46 @@
     sizes
 }
 
-fn takes_work(state: &GatewayState, now: TimePoint, entry: &ServerEntry) -> bool {
+fn accepts_work(state: &GatewayState, now: TimePoint, entry: &ServerEntry) -> bool {
     state.server_health.get(&entry.key()).is_none_or(|health| health.admits(now))
 }
 
-/// The `count` servers of the other stage with the least work, best where their stage is most
-/// common.
-fn best_to_change(
+/// Selects `count` servers of the other stage to change: those in the failure domains with the most
+/// candidates first, and the least loaded within a domain.
+fn select_servers(
     state: &GatewayState,
     now: TimePoint,
     service: ServiceKey,
     to: ServerStage,
     count: usize,
-    desk: &StageController,
+    controller: &StageController,
 ) -> Vec<ServerEntry> {
     let mut candidates: Vec<&ServerEntry> = state
         .fleet
         .ready_at(service, to.other())
-        .filter(|entry| !desk.orders.is_excluded(entry.key()) && takes_work(state, now, entry))
+        .filter(|entry| {
+            !controller.orders.is_excluded(entry.key()) && accepts_work(state, now, entry)
+        })
         .collect();
     let mut in_domain: HashMap<NameKey, usize> = HashMap::new();
     for entry in &candidates {
         *in_domain.entry(entry.domain).or_default() += 1;
     }
-    let work = |entry: &ServerEntry| {
+    let tokens_of = |entry: &ServerEntry| {
         let load = state.server_loads.total(entry.key());
         load.memory_tokens + load.prompt_tokens
     };
     let mut chosen = Vec::new();
     while chosen.len() < count {
-        let common =
+        let domain_count =
             |entry: &ServerEntry| in_domain.get(&entry.domain).copied().unwrap_or_default();
         let best = candidates
             .iter()
             .enumerate()
-            .min_by_key(|(_, entry)| (Reverse(common(entry)), work(entry)))
-            .map(|(place, _)| place);
-        let Some(place) = best else { break };
-        let entry = candidates.swap_remove(place);
+            .min_by_key(|(_, entry)| (Reverse(domain_count(entry)), tokens_of(entry)))
+            .map(|(index, _)| index);
+        let Some(index) = best else { break };
+        let entry = candidates.swap_remove(index);
         *in_domain.entry(entry.domain).or_default() -= 1;
         chosen.push(entry.clone());
     }
--- a/src/gateway/stage_orders.rs
+++ b/src/gateway/stage_orders.rs
@@ -1,4 +1,4 @@
-//! Gives orders to engines: asks them, writes the fence, and sends the orders side by side.
+//! Sends stage orders to engines: requests their reports, writes the fence, and sends the orders concurrently.
 
 use super::gateway_host::GatewayHost;
 use super::server_call::{CallPurpose, call_engine};
@@ -15,64 +15,71 @@
 use http::StatusCode;
 use std::time::Duration;
 
-const STORE_LIMIT: Duration = Duration::from_millis(700);
-const ENGINE_LIMIT: Duration = Duration::from_millis(300);
+const STORE_TIMEOUT: Duration = Duration::from_millis(700);
+const ENGINE_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl GatewayHost {
-    /// Orders changes side by side under one fence: engines are asked first, so that the store is
-    /// called once a batch, and only if one of them can take its order.
-    pub(super) async fn order_batch(&self, desk: &mut StageController, batch: &[PlannedChange]) {
-        let reports = join_all(batch.iter().map(|change| self.ask_report(&change.server))).await;
-        let mut able = Vec::new();
+    /// Orders a batch of changes concurrently under one fence. Engines are asked for their reports first, so that
+    /// the store is called once per batch, and only if at least one engine can take its order.
+    pub(super) async fn order_batch(
+        &self,
+        controller: &mut StageController,
+        batch: &[PlannedChange],
+    ) {
+        let reports =
+            join_all(batch.iter().map(|change| self.request_report(&change.server))).await;
+        let mut orderable = Vec::new();
         for (change, report) in batch.iter().zip(reports) {
             match report {
                 Ok(state) => match order_step(&change.server, change.to, &state) {
-                    OrderStep::Order { orders_taken } => able.push((change, orders_taken)),
-                    OrderStep::UnderWay => self.note_under_way(desk, change),
-                    OrderStep::Restarted => self.note_restarted(desk, change, state.started_at),
+                    OrderStep::Order { orders_taken } => orderable.push((change, orders_taken)),
+                    OrderStep::UnderWay => self.record_in_progress(controller, change),
+                    OrderStep::Restarted => {
+                        self.record_restarted(controller, change, state.started_at)
+                    }
                 },
-                Err(error) => self.note_unreached(desk, change, &error),
+                Err(error) => self.record_unreachable(controller, change, &error),
             }
         }
-        if able.is_empty() {
+        if orderable.is_empty() {
             return;
         }
-        let renewed = self.renew_lease(&mut desk.lease).await;
+        let renewed = self.renew_lease(&mut controller.lease).await;
         let now = self.now();
         if let Err(error) = renewed {
-            log::info!("event=stage_not_ordered servers={} cause=\"{error}\"", able.len());
-            for (change, _) in &able {
-                desk.planners.entry(change.service).or_default().record_attempt(now);
+            log::info!("event=stage_not_ordered servers={} cause=\"{error}\"", orderable.len());
+            for (change, _) in &orderable {
+                controller.planners.entry(change.service).or_default().record_attempt(now);
             }
             return;
         }
-        // While the last giver's lease has not passed nothing is tried, and nothing makes the planner
-        // pause: while hosts restart in turn, pauses on top of that left the pools as they were for
-        // 19 s.
-        let Some(fence) = desk.lease.fence(now) else {
-            log::info!("event=stage_not_ordered servers={} cause=lease_waits", able.len());
+        // Until the previous leader's lease has expired nothing is attempted, and no attempt is recorded, which
+        // would make the planner pause: during a rolling restart of hosts, such pauses on top of the wait for
+        // leases left the pools unchanged for 19 s.
+        let Some(fence) = controller.lease.fence(now) else {
+            log::info!("event=stage_not_ordered servers={} cause=lease_waits", orderable.len());
             return;
         };
-        // The store took its time, in which an engine may have started again.
-        able.retain(|(change, _)| {
+        // An engine may have restarted during the store calls.
+        orderable.retain(|(change, _)| {
             let restarted = self.has_restarted(&change.server);
             if restarted {
-                self.note_restarted(desk, change, None);
+                self.record_restarted(controller, change, None);
             }
             !restarted
         });
-        for (change, _) in &able {
-            desk.orders.record_ordered(
+        for (change, _) in &orderable {
+            controller.orders.record_ordered(
                 now,
                 change.server.key(),
                 change.to,
                 change.engine.stage_change,
             );
-            desk.planners.entry(change.service).or_default().record_attempt(now);
+            controller.planners.entry(change.service).or_default().record_attempt(now);
         }
-        let sent = able.iter().map(|(change, taken)| self.send_order(change, fence, *taken));
-        for ((change, _), answer) in able.iter().zip(join_all(sent).await) {
-            self.note_answer(desk, change, fence, answer);
+        let sent = orderable.iter().map(|(change, taken)| self.send_order(change, fence, *taken));
+        for ((change, _), answer) in orderable.iter().zip(join_all(sent).await) {
+            self.record_answer(controller, change, fence, answer);
         }
         self.broadcast_notices();
     }
@@ -87,12 +94,12 @@
             StageOrder { stage: change.to, holder: &self.settings.host, fence, orders_taken };
         let call = stage_call(&change.server, &order);
         let (server, purpose) = (&change.server, CallPurpose::Order);
-        call_engine(self, server, purpose, call, ENGINE_LIMIT, |status, _| Ok(status)).await
+        call_engine(self, server, purpose, call, ENGINE_TIMEOUT, |status, _| Ok(status)).await
     }
 
-    fn note_answer(
+    fn record_answer(
         &self,
-        desk: &mut StageController,
+        controller: &mut StageController,
         change: &PlannedChange,
         fence: u64,
         answer: Result<StatusCode>,
@@ -106,10 +113,10 @@
                 if status.is_success() {
                     self.state().stage_changes.record_order(change.server.key(), change.to);
                 } else {
-                    desk.orders.record_refused(change.server.key());
+                    controller.orders.record_refused(change.server.key());
                 }
             }
-            // It may have been taken, or may be carried out later: the open order stays.
+            // The engine may have accepted the order, or may carry it out later, so it stays pending.
             Err(error) => {
                 log::info!(
                     "event=stage_ordered server={server} to={to} fence={fence} cause=\"{error}\""
@@ -118,19 +125,19 @@
         }
     }
 
-    /// The engine changes already, by an order of the host that gave them before.
-    fn note_under_way(&self, desk: &mut StageController, change: &PlannedChange) {
+    /// Records a change that is already in progress, ordered by the previous leader.
+    fn record_in_progress(&self, controller: &mut StageController, change: &PlannedChange) {
         let (now, key, to) = (self.now(), change.server.key(), change.to);
         log::info!("event=stage_under_way server={} to={}", change.server.id, to.name());
-        desk.orders.record_ordered(now, key, to, change.engine.stage_change);
+        controller.orders.record_ordered(now, key, to, change.engine.stage_change);
         self.state().stage_changes.record_order(key, to);
     }
 
-    /// The engine has started again: the plan was for its former life, which is left alone until the entry
-    /// of the new one is known and planned with.
-    fn note_restarted(
+    /// Records that the engine has restarted. The plan was for its former incarnation, which is excluded until the
+    /// entry of the new one is known.
+    fn record_restarted(
         &self,
-        desk: &mut StageController,
+        controller: &mut StageController,
         change: &PlannedChange,
         reported: Option<u64>,
     ) {
@@ -141,20 +148,25 @@
              reported={reported}",
             server.id
         );
-        desk.orders.record_failed(self.now(), server.key());
+        controller.orders.record_failed(self.now(), server.key());
     }
 
-    /// The engine did not tell its state: it is left alone for a while.
-    fn note_unreached(&self, desk: &mut StageController, change: &PlannedChange, error: &Error) {
+    /// Records that the engine did not report its state; it is excluded for a while.
+    fn record_unreachable(
+        &self,
+        controller: &mut StageController,
+        change: &PlannedChange,
+        error: &Error,
+    ) {
         let (now, server, to) = (self.now(), &change.server, change.to.name());
         log::info!("event=stage_not_ordered server={} to={to} cause=\"{error}\"", server.id);
-        desk.planners.entry(change.service).or_default().record_attempt(now);
-        desk.orders.record_failed(now, server.key());
+        controller.planners.entry(change.service).or_default().record_attempt(now);
+        controller.orders.record_failed(now, server.key());
     }
 
-    async fn ask_report(&self, server: &ServerEntry) -> Result<EngineState> {
+    async fn request_report(&self, server: &ServerEntry) -> Result<EngineState> {
         let (purpose, call) = (CallPurpose::Control, report_call(server));
-        call_engine(self, server, purpose, call, ENGINE_LIMIT, |status, body| {
+        call_engine(self, server, purpose, call, ENGINE_TIMEOUT, |status, body| {
             if !status.is_success() {
                 return Err(Error::Refused(format!("the engine answered {status} to a report")));
             }
@@ -169,16 +181,16 @@
         .await
     }
 
-    /// Writes the next fence into the store.
+    /// Renews the lease by writing the next fence to the store.
     pub(super) async fn renew_lease(&self, lease: &mut OrderLease) -> Result<()> {
         let (kind, name) = LEASE_OBJECT;
-        let object = self.store.read(kind, name, STORE_LIMIT).await?;
+        let object = self.store.read(kind, name, STORE_TIMEOUT).await?;
         let held = object.as_ref().map(|object| decode_lease(&object.spec)).transpose()?;
         let record = OrderLease::next_record(held.as_ref(), &self.settings.host);
         let expected = object.map(|object| object.revision);
         let sent_at = self.now();
         let spec = encode_lease(&record);
-        let written = self.store.write(kind, name, expected, &spec, STORE_LIMIT).await;
+        let written = self.store.write(kind, name, expected, &spec, STORE_TIMEOUT).await;
         match written {
             StoreWrite::Written(_) => {
                 let now = self.now();
--- a/src/gateway/stop_plan.rs
+++ b/src/gateway/stop_plan.rs
@@ -1,28 +1,28 @@
 use std::time::Duration;
 
-/// The platform asks each second whether callers may come and takes a host out after two misses.
-const TWO_MISSES: Duration = Duration::from_millis(2000);
-/// Answers and the platform's own decision are on their way for this long.
-const MISS_MARGIN: Duration = Duration::from_millis(500);
-/// The process ends this long before the platform would end it.
-const END_MARGIN: Duration = Duration::from_millis(250);
+/// The platform probes readiness every second and stops routing callers to a host after two failed probes.
+const TWO_PROBES: Duration = Duration::from_millis(2000);
+/// Time for probe answers and the platform's routing change to take effect.
+const PROBE_MARGIN: Duration = Duration::from_millis(500);
+/// The process exits this long before the platform would kill it.
+const EXIT_MARGIN: Duration = Duration::from_millis(250);
 
-/// How long each phase of a planned stop lasts.
+/// Durations of the phases of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopPlan {
-    /// How long requests are still read, while the platform sends callers elsewhere.
+    /// How long requests are still read, until the platform routes callers to other hosts.
     pub drain_time: Duration,
-    /// How long after the beginning the process ends, whatever still runs.
+    /// Time from the start of the shutdown until the process exits, even if requests are still in flight.
     pub exit_after: Duration,
 }
 
 impl StopPlan {
-    /// The plan for a platform that ends processes after `grace`.
+    /// Creates the plan for a platform that kills processes after `grace`.
     ///
-    /// Requests are read no longer than the platform needs: each later one has less of the grace
-    /// left (a hunted day cut a stream that was taken 3.2 s after SIGTERM).
+    /// Requests are read no longer than the platform needs to change its routing: the later a request is
+    /// read, the less of the grace period remains for it. A stream accepted 3.2 s after SIGTERM was cut off.
     pub fn new(grace: Duration) -> Self {
-        let exit_after = grace.saturating_sub(END_MARGIN);
-        Self { drain_time: (TWO_MISSES + MISS_MARGIN).min(exit_after / 2), exit_after }
+        let exit_after = grace.saturating_sub(EXIT_MARGIN);
+        Self { drain_time: (TWO_PROBES + PROBE_MARGIN).min(exit_after / 2), exit_after }
     }
 }
--- a/src/gateway/store_contact.rs
+++ b/src/gateway/store_contact.rs
@@ -1,11 +1,11 @@
-//! What this host's own calls of the store came to.
+//! Records the outcomes of this host's own calls to the store.
 
 use super::gateway_host::GatewayHost;
 use crate::platform::{ROUTES_OBJECT, SERVERS_KIND};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Kinds of objects that a host follows.
+/// Kinds of objects whose changes a host follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum FollowedKind {
     Routes,
@@ -23,15 +23,15 @@
     }
 }
 
-/// The store refused this host or did not answer it: the others elect another watcher.
+/// Records that the store refused or did not answer this host; the other hosts then elect another watcher.
 pub(super) fn record_store_failure(host: &GatewayHost, kind: FollowedKind, error: &crate::Error) {
     if !host.is_unreachable(kind).swap(true, Ordering::Relaxed) {
         log::warn!("event=store_lost kind={} cause=\"{error}\"", kind.name());
     }
-    host.note_refused(true);
+    host.record_store_refused(true);
 }
 
-/// The store answered this host.
+/// Records that the store answered this host.
 pub(super) fn record_store_answer(host: &GatewayHost, kind: FollowedKind) {
     if host.is_unreachable(kind).swap(false, Ordering::Relaxed) {
         log::info!("event=store_regained kind={}", kind.name());
@@ -42,15 +42,16 @@
         state.fleet.record_store_answer(now, Duration::ZERO);
         state.store_answered_at = now;
     }
-    let away = FollowedKind::ALL.map(|kind| host.is_unreachable(kind).load(Ordering::Relaxed));
-    if away == [false, false] {
-        host.note_refused(false);
+    let unreachable =
+        FollowedKind::ALL.map(|kind| host.is_unreachable(kind).load(Ordering::Relaxed));
+    if unreachable == [false, false] {
+        host.record_store_refused(false);
     }
 }
 
 impl GatewayHost {
-    /// Notes whether the store refuses this host, and tells the others at once if that is new.
-    fn note_refused(&self, refused: bool) {
+    /// Records whether the store refuses this host, and notifies the other hosts at once if that has changed.
+    fn record_store_refused(&self, refused: bool) {
         let now = self.now();
         let is_new = self.state().refused_hosts.record(now, self.incarnation, refused);
         if is_new {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Revision from which a watch of a kind goes on.
+    /// Revision at which a watch of a kind starts.
     pub(super) fn known_revision(&self, kind: FollowedKind) -> Option<u64> {
         let state = self.state();
         let revision = match kind {
--- a/src/gateway/unreadable_objects.rs
+++ b/src/gateway/unreadable_objects.rs
@@ -1,28 +1,28 @@
 use crate::platform::UnreadableObject;
 use std::collections::HashSet;
 
-/// Objects remembered so that each is logged once. At some 150 bytes each 150 KB (reckoned); beyond it,
-/// all are forgotten, and each may be logged once more.
-const OBJECTS_KEPT: usize = 1024;
+/// Most objects remembered, so that each is logged once. At about 150 bytes each they take 150 KB. When the
+/// limit is reached, all are dropped, and each may be logged once more.
+const MAX_OBJECTS: usize = 1024;
 
-/// The unreadable objects that were logged: each listing names them again.
+/// The unreadable objects that were already logged, because each listing returns them again.
 ///
-/// A change has another revision and is new. Of objects without name and revision, those with different
-/// causes are told apart.
+/// A changed object has another revision and counts as new. Objects without a name and revision are
+/// distinguished by their cause.
 #[derive(Debug, Clone, Default)]
 pub struct UnreadableObjects {
-    noted: HashSet<UnreadableObject>,
+    logged: HashSet<UnreadableObject>,
 }
 
 impl UnreadableObjects {
-    /// Notes an object; true if it was not noted before.
+    /// Inserts an object; returns whether it is new.
     pub fn insert(&mut self, object: &UnreadableObject) -> bool {
-        if self.noted.contains(object) {
+        if self.logged.contains(object) {
             return false;
         }
-        if self.noted.len() >= OBJECTS_KEPT {
-            self.noted.clear();
+        if self.logged.len() >= MAX_OBJECTS {
+            self.logged.clear();
         }
-        self.noted.insert(object.clone())
+        self.logged.insert(object.clone())
     }
 }
--- a/src/gateway/view_lag.rs
+++ b/src/gateway/view_lag.rs
@@ -1,4 +1,4 @@
-//! What tells this host that others have a newer view, and how long it has been behind.
+//! Tracks whether other hosts have a newer view, and for how long this host has been behind.
 
 use super::gateway_host::GatewayHost;
 use super::gateway_state::GatewayState;
@@ -9,22 +9,22 @@
 use crate::membership::ViewMark;
 use std::time::Duration;
 
-/// A host that has been behind for this long says so: news come within some tenths of a second.
-const LONG_BEHIND: Duration = Duration::from_millis(1000);
+/// A host that has been behind for this long logs it; updates normally arrive within some tenths of a second.
+const MIN_LOGGED_LAG: Duration = Duration::from_millis(1000);
 
 impl GatewayHost {
-    /// Another host said how new its view is.
-    pub(super) fn apply_view_mark(&self, heard: ViewMark) {
+    /// Applies the mark of another host's view, which says how new that view is.
+    pub(super) fn apply_view_mark(&self, mark: ViewMark) {
         let now = self.now();
         let mut state = self.state();
         for kind in FollowedKind::ALL {
             let own = kind.part_of(state.view_mark());
-            state.freshness_mut(kind).apply_revision(now, own, kind.part_of(heard));
+            state.freshness_mut(kind).apply_revision(now, own, kind.part_of(mark));
         }
     }
 
-    /// Another host said when its view last lacked nothing.
-    pub(super) fn apply_view_ages(&self, heard: ViewMark, ages: ViewAges) {
+    /// Applies the mark of another host's view and the ages at which that view was last complete.
+    pub(super) fn apply_view_ages(&self, mark: ViewMark, ages: ViewAges) {
         let now = self.now();
         let mut state = self.state();
         for (kind, age_ms) in
@@ -32,14 +32,14 @@
         {
             let own = kind.part_of(state.view_mark());
             let age = Duration::from_millis(age_ms.into());
-            state.freshness_mut(kind).apply_age(now, own, kind.part_of(heard), age);
+            state.freshness_mut(kind).apply_age(now, own, kind.part_of(mark), age);
         }
     }
 
-    /// The store told this host all of a kind that it held at `at`, its `revision` then.
-    pub(super) fn note_view_complete(&self, kind: FollowedKind, at: TimePoint, revision: u64) {
+    /// Records that the view of a kind includes everything that the store held at `at`, up to `revision`.
+    pub(super) fn record_view_complete(&self, kind: FollowedKind, at: TimePoint, revision: u64) {
         let mut state = self.state();
-        // Hosts tell each other the versions of configurations, which are not the store's revisions.
+        // Hosts exchange versions of the configuration, which differ from the revisions of the store.
         let reached = match kind {
             FollowedKind::Routes => state.routes.version(),
             FollowedKind::Servers => revision,
@@ -47,12 +47,12 @@
         state.freshness_mut(kind).record_complete(at, reached);
     }
 
-    /// Whether others have a newer configuration that this host has not got yet.
+    /// Whether other hosts have a newer configuration that this host has not received yet.
     pub fn is_behind(&self) -> bool {
         self.behind_for(self.now(), FollowedKind::Routes).is_some()
     }
 
-    /// For how long this host has known that others have a newer view.
+    /// For how long this host has known that other hosts have a newer view.
     pub(super) fn behind_for(&self, now: TimePoint, kind: FollowedKind) -> Option<Duration> {
         self.state().behind_for(now, kind)
     }
@@ -86,17 +86,17 @@
         self.freshness(kind).behind_for(now, kind.part_of(self.view_mark()))
     }
 
-    /// Whether nobody told of an answer of the store about a kind that is newer than the last one to this host.
+    /// Whether no other host has announced a store answer about a kind that is newer than the last one to this host.
     pub(super) fn has_newest_answer(&self, kind: FollowedKind) -> bool {
         self.freshness(kind).has_newest_answer()
     }
 
-    /// Time since this host's view of a kind was last known to lack nothing.
+    /// Time since this host's view of a kind was last known to be complete.
     pub(super) fn view_age(&self, now: TimePoint, kind: FollowedKind) -> Duration {
         self.freshness(kind).age(now, kind.part_of(self.view_mark()))
     }
 
-    /// The same of all kinds, as other hosts are told it.
+    /// The view ages of all kinds, as sent to other hosts.
     pub(super) fn view_ages(&self, now: TimePoint) -> ViewAges {
         let age_ms = |kind| u32::try_from(self.view_age(now, kind).as_millis()).unwrap_or(u32::MAX);
         ViewAges {
@@ -106,7 +106,7 @@
     }
 }
 
-/// Writes down when one kind of the view has been behind for long, and for how long it was.
+/// Logs when this host's view of a kind falls behind for long, and when it catches up.
 #[derive(Debug)]
 pub(super) struct LagLog {
     kind: FollowedKind,
@@ -118,16 +118,16 @@
         Self { kind, longest: None }
     }
 
-    /// Looks at the host as it is now.
-    pub fn look(&mut self, now: TimePoint, host: &GatewayHost) {
+    /// Checks the current lag of the host, and logs a change.
+    pub fn update(&mut self, now: TimePoint, host: &GatewayHost) {
         let kind = self.kind.name();
-        match host.behind_for(now, self.kind).filter(|behind| *behind >= LONG_BEHIND) {
+        match host.behind_for(now, self.kind).filter(|behind| *behind >= MIN_LOGGED_LAG) {
             Some(behind) => {
                 if self.longest.is_none() {
-                    let heard_ms = host.state().fleet.store_age(now).as_millis();
+                    let store_age_ms = host.state().fleet.store_age(now).as_millis();
                     let own = host.known_revision(self.kind).unwrap_or_default();
                     log::warn!(
-                        "event=view_behind kind={kind} revision={own} behind_ms={} store_age_ms={heard_ms}",
+                        "event=view_behind kind={kind} revision={own} behind_ms={} store_age_ms={store_age_ms}",
                         behind.as_millis()
                     );
                 }
--- a/src/gateway/view_loop.rs
+++ b/src/gateway/view_loop.rs
@@ -10,28 +10,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Pause after a watch that brought changes. Each watch is a call of the store and ends with the first
-/// change: while servers start or change their stage by dozens, one call brings many. Changes have to
-/// be in force within 2 s.
-const WATCH_REST: Duration = Duration::from_millis(200);
-/// First pause after the store did not answer; doubles up to the longest.
+/// Pause after a watch that returned changes. Each watch is one store call and ends at the first change:
+/// with this pause, one call returns many changes while dozens of servers start or change their stage.
+/// Changes have to be in force within 2 s.
+const WATCH_PAUSE: Duration = Duration::from_millis(200);
+/// First pause after the store did not answer; it doubles up to the longest one.
 const FIRST_PAUSE: Duration = Duration::from_millis(200);
-const LONGEST_PAUSE: Duration = Duration::from_millis(1000);
-/// A watcher asks again after this when it hears that the store has answered others: the pauses of a domain of a hundred
-/// hosts are longer than a change may take.
-const HEARD_PAUSE: Duration = Duration::from_millis(400);
-/// The same for the watcher of a failure domain whose callers need keys: after an outage they are refused
-/// until it has read the configuration again. With the pause of a large domain that was 3 s.
+const MAX_PAUSE: Duration = Duration::from_millis(1000);
+/// After this pause a watcher retries as soon as it learns that the store has answered another host: the pauses in a
+/// failure domain of a hundred hosts are longer than a change may take to be in force.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(400);
+/// Longest pause of the watcher of a failure domain whose callers need keys: after an outage, callers are
+/// refused until it has read the configuration again. The pause of a large domain would be 3 s.
 const KEYED_PAUSE: Duration = Duration::from_millis(400);
-/// A view that last lacked nothing longer ago than this may lack many versions of the configuration. A watch is told each of
-/// them whole, and of hundreds of hosts that wake together each would be.
-const READ_AGE: Duration = Duration::from_millis(2000);
-/// How often a host that does not watch looks whether it should.
-const DUTY_PERIOD: Duration = Duration::from_millis(100);
-/// How often entries that lapsed are looked through.
+/// A view that was last complete longer ago than this may have missed many versions of the configuration. A watch would
+/// return each of them completely, and do so to each of the hundreds of hosts that resume at the same time.
+const MAX_WATCH_AGE: Duration = Duration::from_millis(2000);
+/// How often a host that does not watch the store checks whether it should.
+const ROLE_PERIOD: Duration = Duration::from_millis(100);
+/// How often expired entries are removed.
 const EXPIRE_PERIOD: Duration = Duration::from_millis(200);
 
-/// Follows the configuration and the servers in the store, and lets lapsed entries go.
+/// Follows the configuration and the servers in the store, and removes expired entries.
 pub(super) async fn run_view(host: Arc<GatewayHost>) {
     tokio::join!(
         follow(&host, FollowedKind::Routes),
@@ -40,120 +40,119 @@
     );
 }
 
-/// What one question to the store came to.
+/// Outcome of one query of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum FollowStep {
-    /// The view holds all that the store held at `until`; `next` is the revision to go on from.
-    Told { next: u64, until: TimePoint },
-    /// A neighbour was faster.
-    Heard,
-    /// The store no longer knows what came after the revision asked for.
+    /// The view includes everything that the store held at `until`; `next` is the revision to continue from.
+    Complete { next: u64, until: TimePoint },
+    /// Another host sent the view before the store answered.
+    ReceivedFromPeer,
+    /// The store no longer has the history after the requested revision.
     HistoryLost,
 }
 
-/// How the store is asked next.
+/// Kind of the next query of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum NextQuery {
-    /// What changes from now on?
-    Wait,
-    /// What has changed?
-    Now,
-    /// What is there?
-    Whole,
+    /// Wait for further changes.
+    Watch,
+    /// Return past changes without waiting.
+    Poll,
+    /// Return all objects.
+    List,
 }
 
 impl NextQuery {
-    /// The first question of a host whose view last lacked nothing so long ago.
+    /// The first query of a host whose view was last complete `view_age` ago.
     fn first(view_age: Duration) -> Self {
-        if view_age > READ_AGE { Self::Now } else { Self::Wait }
+        if view_age > MAX_WATCH_AGE { Self::Poll } else { Self::Watch }
     }
 
-    /// The question after one that came to nothing: never the same one for ever, since an answer may be too long to
-    /// arrive.
+    /// The query after a failed one. After timeouts, polls and lists alternate, because an answer may be too long to arrive.
     fn after_failure(self, error: &Error) -> Self {
         match self {
-            Self::Now if matches!(error, Error::Timeout) => Self::Whole,
-            Self::Wait | Self::Now | Self::Whole => Self::Now,
+            Self::Poll if matches!(error, Error::Timeout) => Self::List,
+            Self::Watch | Self::Poll | Self::List => Self::Poll,
         }
     }
 }
 
-/// What a host's own questions about a kind came to.
+/// Outcomes of this host's own store queries about a kind.
 #[derive(Debug, Clone, Copy, Default)]
 struct OwnStoreContact {
-    /// When the last one failed, if that was the last one.
+    /// When the last query failed, if no later one was answered.
     refused_at: Option<TimePoint>,
-    /// When the last one was answered.
+    /// When a query was last answered.
     answered_at: Option<TimePoint>,
-    /// Since when it asks, if it began to because it doubted its view.
-    doubts_since: Option<TimePoint>,
+    /// Since when this host polls the store because its view may be outdated.
+    polls_since: Option<TimePoint>,
 }
 
-/// Follows a kind while that is this host's duty.
+/// Follows a kind in the store while this host has the role to do so.
 async fn follow(host: &Arc<GatewayHost>, kind: FollowedKind) {
     let mut pause = FIRST_PAUSE;
-    let mut question = NextQuery::Wait;
-    // Where the own watch goes on; nothing until it has begun.
+    let mut query = NextQuery::Watch;
+    // Revision from which this host's watch continues; `None` before the first answer.
     let mut watched = None;
     let mut contact = OwnStoreContact::default();
-    let mut report = RoleLog::new(kind);
+    let mut role_log = RoleLog::new(kind);
     loop {
-        let view = host.duty_view(kind, contact);
-        let duty = watcher_role(&view);
-        report.note(duty, &view);
-        if duty == WatcherRole::Follow {
+        let input = host.role_input(kind, contact);
+        let role = watcher_role(&input);
+        role_log.update(role, &input);
+        if role == WatcherRole::Follow {
             watched = None;
-            question = NextQuery::Wait;
-            contact.doubts_since = None;
-            tokio::time::sleep(DUTY_PERIOD).await;
+            query = NextQuery::Watch;
+            contact.polls_since = None;
+            tokio::time::sleep(ROLE_PERIOD).await;
             continue;
         }
-        if duty == WatcherRole::Poll {
-            contact.doubts_since.get_or_insert(host.now());
+        if role == WatcherRole::Poll {
+            contact.polls_since.get_or_insert(host.now());
         }
-        if watched.is_none() && question == NextQuery::Wait {
-            question = NextQuery::first(view.view_age);
+        if watched.is_none() && query == NextQuery::Watch {
+            query = NextQuery::first(input.view_age);
         }
         let from = watched.or_else(|| host.known_revision(kind));
-        let step = match (from, question) {
+        let step = match (from, query) {
             (None, _) => list_unless_received(host, kind).await,
-            (Some(_), NextQuery::Whole) => list(host, kind).await,
-            (Some(after), NextQuery::Now) => poll_changes(host, kind, after).await,
-            (Some(after), NextQuery::Wait) if host.reads(kind) => {
+            (Some(_), NextQuery::List) => list(host, kind).await,
+            (Some(after), NextQuery::Poll) => poll_changes(host, kind, after).await,
+            (Some(after), NextQuery::Watch) if host.reads_periodically(kind) => {
                 read_periodically(host, after).await
             }
-            (Some(after), NextQuery::Wait) => watch(host, kind, after).await,
+            (Some(after), NextQuery::Watch) => watch(host, kind, after).await,
         };
         match step {
-            // The store said nothing to this host.
-            Ok(FollowStep::Heard) => continue,
-            Ok(FollowStep::Told { next, until }) => {
+            // The store did not answer this host.
+            Ok(FollowStep::ReceivedFromPeer) => continue,
+            Ok(FollowStep::Complete { next, until }) => {
                 watched = Some(next);
-                question = NextQuery::Wait;
-                host.note_view_complete(kind, until, next);
+                query = NextQuery::Watch;
+                host.record_view_complete(kind, until, next);
                 if from.is_some_and(|after| next > after) {
-                    tokio::time::sleep(WATCH_REST).await;
+                    tokio::time::sleep(WATCH_PAUSE).await;
                 }
             }
-            // Whatever is known may lack changes.
+            // The known view may have missed changes.
             Ok(FollowStep::HistoryLost) => {
-                question = NextQuery::Whole;
+                query = NextQuery::List;
                 continue;
             }
-            // Only this connection may have fallen silent.
-            Err(Error::Timeout) if question == NextQuery::Wait && from.is_some() => {
-                question = NextQuery::Now;
+            // Possibly only this connection has become unresponsive.
+            Err(Error::Timeout) if query == NextQuery::Watch && from.is_some() => {
+                query = NextQuery::Poll;
                 continue;
             }
             Err(error) => {
                 record_store_failure(host, kind, &error);
                 contact.refused_at = Some(host.now());
                 watched = None;
-                question = question.after_failure(&error);
+                query = query.after_failure(&error);
                 host.pause_until_store_answers(pause).await;
-                let longest =
-                    if view.lacks_updates() { LONGEST_PAUSE } else { host.longest_pause(kind) };
-                pause = (pause * 2).min(longest);
+                let max_pause =
+                    if input.lacks_updates() { MAX_PAUSE } else { host.max_pause(kind) };
+                pause = (pause * 2).min(max_pause);
                 continue;
             }
         }
@@ -165,17 +164,17 @@
 }
 
 impl GatewayHost {
-    /// What decides whether this host asks the store for a kind itself, or hears it from others.
-    fn duty_view(&self, kind: FollowedKind, contact: OwnStoreContact) -> RoleInput {
+    /// The input that decides whether this host queries the store for a kind itself, or receives it from other hosts.
+    fn role_input(&self, kind: FollowedKind, contact: OwnStoreContact) -> RoleInput {
         let known = self.known_revision(kind).is_some();
         let now = self.now();
         let state = self.state();
         let domain = self.domain();
         let watcher = state.watcher(now, domain);
         let is_vacant = watcher.is_none_or(|host| state.refused_hosts.is_refused(now, host));
-        let heard_at = watcher.and_then(|host| state.members.record(host)?.received_at);
-        let is_substitute = contact.doubts_since.is_some_and(|since| {
-            heard_at.is_none_or(|at| at < since) && state.has_newest_answer(kind)
+        let received_at = watcher.and_then(|host| state.members.record(host)?.received_at);
+        let is_substitute = contact.polls_since.is_some_and(|since| {
+            received_at.is_none_or(|at| at < since) && state.has_newest_answer(kind)
         });
         RoleInput {
             without_view_for: (!known).then(|| now.since(TimePoint::default())),
@@ -193,7 +192,7 @@
                 FollowedKind::Routes => state.max_config_age().map(|_| state.config_age.age(now)),
                 FollowedKind::Servers => None,
             },
-            // An answer to any other question since tells more.
+            // A later answer of the store to any other query outweighs the failure.
             store_refused_for: contact
                 .refused_at
                 .filter(|at| *at > state.store_answered_at)
@@ -203,17 +202,17 @@
         }
     }
 
-    /// Waits after a call that failed; a watcher no longer than until the store has answered somebody else.
+    /// Pauses after a failed call. A watcher ends the pause early once the store has answered another host.
     async fn pause_until_store_answers(&self, pause: Duration) {
         let began = self.now();
-        tokio::time::sleep(pause.min(HEARD_PAUSE)).await;
+        tokio::time::sleep(pause.min(MIN_RETRY_PAUSE)).await;
         while self.now().since(began) < pause {
             let now = self.now();
             let is_back = self.state().fleet.store_age(now) < now.since(began);
             if is_back && self.is_watcher() {
                 return;
             }
-            tokio::time::sleep(DUTY_PERIOD).await;
+            tokio::time::sleep(ROLE_PERIOD).await;
         }
     }
 
@@ -222,31 +221,31 @@
         self.state().watcher(now, self.domain()) == Some(self.incarnation)
     }
 
-    /// Longest pause between calls of the store that fail.
-    fn longest_pause(&self, kind: FollowedKind) -> Duration {
-        if self.reads(kind) && self.is_watcher() {
+    /// Longest pause between failing store calls.
+    fn max_pause(&self, kind: FollowedKind) -> Duration {
+        if self.reads_periodically(kind) && self.is_watcher() {
             return KEYED_PAUSE;
         }
-        scaled_interval(LONGEST_PAUSE, self.state().members.owners(self.domain()).count())
+        scaled_interval(MAX_PAUSE, self.state().members.owners(self.domain()).count())
     }
 }
 
 async fn expire_entries(host: &GatewayHost) {
     let mut ticker = tokio::time::interval(EXPIRE_PERIOD);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut reports = FollowedKind::ALL.map(LagLog::new);
+    let mut lag_logs = FollowedKind::ALL.map(LagLog::new);
     loop {
         ticker.tick().await;
         let now = host.now();
-        for report in &mut reports {
-            report.look(now, host);
+        for lag_log in &mut lag_logs {
+            lag_log.update(now, host);
         }
-        let lapsed = {
+        let expired = {
             let mut state = host.state();
             state.expire(now);
             state.fleet.expire(now)
         };
-        for entry in lapsed {
+        for entry in expired {
             log::info!("event=server_lapsed server={}", entry.id);
         }
     }
--- a/src/gateway/view_servers.rs
+++ b/src/gateway/view_servers.rs
@@ -1,14 +1,14 @@
-//! Puts what the store says of backend servers into the view.
+//! Applies the store's entries of backend servers to the view.
 
 use super::gateway_host::GatewayHost;
 use crate::fleet::{FleetChange, ServerStage};
 use crate::keys::IdKey;
 use crate::platform::{ObjectList, StoreEvent, UnreadableObject, decode_change, decode_servers};
 
-/// Signs of a name or a cause that are logged; another writer may have made them as long as an object.
-const LONGEST_LOGGED: usize = 200;
+/// Most characters of a name or a cause that are logged; another writer may have made them as long as an object.
+const MAX_LOGGED_CHARS: usize = 200;
 
-/// Takes over a listing. What is listed but names no server to use is out of use at once.
+/// Applies a listing. A listed object that describes no usable server takes the server out of use at once.
 pub(super) fn replace_servers(host: &GatewayHost, listed: &ObjectList) {
     let (entries, unreadable) = decode_servers(listed);
     let (count, bad, revision) = (entries.len(), unreadable.len(), listed.revision);
@@ -16,26 +16,26 @@
     log::info!(
         "event=servers_listed count={count} unreadable={bad} whole={whole} revision={revision}"
     );
-    let unusable = note_all(host, &unreadable);
+    let unusable = unusable_servers(host, &unreadable);
     let now = host.now();
     let mut state = host.state();
-    let lives = if whole {
+    let incarnations = if whole {
         state.fleet.replace_all(now, revision, entries)
     } else {
-        // The listing says nothing of the servers behind its end: they hold.
-        let stated = entries.into_iter().map(FleetChange::Updated).collect();
-        state.fleet.apply(now, revision, stated)
+        // The listing is incomplete: servers after its end are unknown and stay as they are.
+        let updated = entries.into_iter().map(FleetChange::Updated).collect();
+        state.fleet.apply(now, revision, updated)
     };
     state.fleet.apply(now, revision, unusable);
     drop(state);
-    host.handle_incarnation_changes(revision, &lives);
+    host.handle_incarnation_changes(revision, &incarnations);
 }
 
-fn note_all(host: &GatewayHost, unreadable: &[UnreadableObject]) -> Vec<FleetChange> {
-    unreadable.iter().filter_map(|object| note_unreadable(host, object)).collect()
+fn unusable_servers(host: &GatewayHost, unreadable: &[UnreadableObject]) -> Vec<FleetChange> {
+    unreadable.iter().filter_map(|object| log_unreadable(host, object)).collect()
 }
 
-/// Takes over changes. The revision goes on also if none of them can be used.
+/// Applies changes. The revision advances even if none of them is usable.
 pub(super) fn apply_changes(host: &GatewayHost, revision: u64, events: &[StoreEvent]) {
     if events.is_empty() {
         return;
@@ -47,12 +47,12 @@
                 log_change(&change, event, revision);
                 applied.push(change);
             }
-            Err(object) => applied.extend(note_unreadable(host, &object)),
+            Err(object) => applied.extend(log_unreadable(host, &object)),
         }
     }
     let now = host.now();
-    let lives = host.state().fleet.apply(now, revision, applied);
-    host.handle_incarnation_changes(revision, &lives);
+    let incarnations = host.state().fleet.apply(now, revision, applied);
+    host.handle_incarnation_changes(revision, &incarnations);
 }
 
 fn log_change(change: &FleetChange, event: &StoreEvent, revision: u64) {
@@ -77,9 +77,9 @@
     }
 }
 
-/// Logs an entry that names no server to use, once for each change, and takes a server that was known
-/// under its name out of use.
-fn note_unreadable(host: &GatewayHost, object: &UnreadableObject) -> Option<FleetChange> {
+/// Logs an entry that describes no usable server, once for each change of it, and returns the change that
+/// takes the server of that name out of use.
+fn log_unreadable(host: &GatewayHost, object: &UnreadableObject) -> Option<FleetChange> {
     if host.state().unreadable_objects.insert(object) {
         let (name, revision) = (logged_name(object), object.revision);
         let cause = logged(&object.cause);
@@ -88,12 +88,12 @@
     object.name.as_deref().map(|name| FleetChange::Unusable(IdKey::of(name)))
 }
 
-/// The name of an unreadable object in a line of the log.
+/// The name of an unreadable object, for a log line.
 pub(super) fn logged_name(object: &UnreadableObject) -> String {
     object.name.as_deref().map_or_else(|| "none".to_owned(), logged)
 }
 
-/// A text of another writer in a line of the log: no line ends, and not as long as an object.
+/// A text of another writer, escaped to a single line and truncated, for a log line.
 pub(super) fn logged(text: &str) -> String {
-    text.escape_debug().take(LONGEST_LOGGED).collect()
+    text.escape_debug().take(MAX_LOGGED_CHARS).collect()
 }
--- a/src/gateway/view_spread.rs
+++ b/src/gateway/view_spread.rs
@@ -1,4 +1,4 @@
-//! Spreads views between hosts: who is told of a newer one, and from whom it is fetched.
+//! Exchanges views between hosts: which hosts are notified of a newer view, and from which host it is fetched.
 
 use super::gateway_host::{GatewayHost, ViewSource};
 use super::peer_messages::{GatewayReply, GatewayRequest};
@@ -11,41 +11,42 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A reply begins within a round trip, if its host is not busy with a large view of its own. A whole view of 3,000
-/// servers is 270 KB, and a neighbour may hand it to dozens at once over a link of 10 Mbit/s: only pauses are bounded.
-const FETCH_PATIENCE: PeerTimeouts =
+/// Timeouts of a fetch. A reply starts within a round trip, unless its host is busy fetching a large view itself. A
+/// complete view of 3,000 servers is 270 KB, and a host may send it to dozens at once over a link of 10 Mbit/s, so that
+/// only pauses in the transfer are bounded, not its whole duration.
+const FETCH_TIMEOUTS: PeerTimeouts =
     PeerTimeouts { reply: Duration::from_millis(400), pause: Duration::from_millis(400) };
-/// The same for a host that has no view yet and nothing else to wait for.
-const FIRST_PATIENCE: PeerTimeouts =
+/// Timeouts for a host that has no view yet and nothing else to wait for.
+const FIRST_TIMEOUTS: PeerTimeouts =
     PeerTimeouts { reply: Duration::from_millis(3000), pause: Duration::from_millis(1000) };
-/// Neighbours that a host without a view asks for theirs before it lists the servers: with half of them just as new, one
-/// of four has a view in nearly all cases.
-const FIRST_TRIES: u64 = 4;
-/// Hosts of the own failure domain told at once of a newly adopted view; each that adopts it tells
-/// as many.
-const VIEW_NEAR: usize = 3;
-/// Hosts of each other failure domain that a watcher of the store tells at once: two, since one
-/// datagram may be lost. Hosts that heard a view from another one do not tell other domains: each
-/// domain has its own watcher, and their bytes are priced.
-const VIEW_ABROAD: usize = 2;
+/// Hosts that a host without a view asks for theirs before it lists the servers. Even if half of them have just started
+/// as well, one of four has a view in nearly all cases.
+const FIRST_ATTEMPTS: u64 = 4;
+/// Hosts of the same failure domain notified at once of a newly adopted view; each that adopts it
+/// notifies as many.
+const LOCAL_TARGETS: usize = 3;
+/// Hosts of each other failure domain that a watcher of the store notifies at once: two, since a
+/// datagram may be lost. Hosts that received a view from another host do not notify other domains: each
+/// domain has its own watcher, and traffic between domains is charged.
+const REMOTE_TARGETS: usize = 2;
 
 impl GatewayHost {
-    /// Tells a few hosts at once that this one has a newer view, from the store or from a peer.
+    /// Notifies a few hosts at once that this one has a newer view, from the store or from a peer.
     pub(super) fn announce_view(self: &Arc<Self>, source: ViewSource) {
-        let abroad = match source {
-            ViewSource::Store => VIEW_ABROAD,
+        let remote = match source {
+            ViewSource::Store => REMOTE_TARGETS,
             ViewSource::Peer => 0,
         };
-        let orders = {
+        let actions = {
             let mut state = self.state();
             let mark = state.view_mark();
             state.members.set_view(mark);
-            state.members.push_updates(VIEW_NEAR, abroad)
+            state.members.push_updates(LOCAL_TARGETS, remote)
         };
-        self.execute_orders(orders);
+        self.execute_actions(actions);
     }
 
-    /// Fetches a newer view from another host, unless news are coming from one already.
+    /// Fetches a newer view from another host, unless a fetch is already in progress.
     pub(super) fn fetch_view(self: &Arc<Self>, address: SocketAddr) {
         if !lock(&self.view_fetches).begin(self.now(), address) {
             return;
@@ -57,14 +58,14 @@
         });
     }
 
-    /// Fetches the first view of this host's life: from `seed`, or better from a neighbour. Of hosts that start together
-    /// many know no more than this one, so that some are asked in turn.
+    /// Fetches the first view of this host, preferably from a host of the same failure domain, otherwise from `seed`.
+    /// Many hosts that start at the same time have no view themselves, so several are asked one after the other.
     pub(super) fn fetch_first_view(self: &Arc<Self>, seed: SocketAddr) {
         let host = Arc::clone(self);
         tokio::spawn(async move {
-            for salt in 0..FIRST_TRIES {
-                let near = host.state().other_domain_member(mix_hash(host.incarnation.0, salt));
-                let address = near.map_or(seed, |member| member.address);
+            for salt in 0..FIRST_ATTEMPTS {
+                let local = host.state().same_domain_member(mix_hash(host.incarnation.0, salt));
+                let address = local.map_or(seed, |member| member.address);
                 if lock(&host.view_fetches).begin(host.now(), address) {
                     host.fetch_view_from(address).await;
                     lock(&host.view_fetches).end(address);
@@ -76,15 +77,15 @@
         });
     }
 
-    /// Puts a configuration in force that another host told; `known` was in force as it was asked.
-    fn apply_route_update(&self, address: SocketAddr, known: &RouteTable, news: RouteUpdate) {
-        let (revision, told) = (news.revision, news.route_count());
-        match news.apply_to(known) {
+    /// Adopts a configuration that another host sent; `known` was in force when it was requested.
+    fn apply_route_update(&self, address: SocketAddr, known: &RouteTable, update: RouteUpdate) {
+        let (revision, routes) = (update.revision, update.route_count());
+        match update.apply_to(known) {
             Ok(table) => {
-                log::info!("event=config_heard peer={address} revision={revision} routes={told}");
+                log::info!("event=config_heard peer={address} revision={revision} routes={routes}");
                 self.adopt_routes(revision, table, ViewSource::Peer);
             }
-            // A host that stays behind asks the store.
+            // A host that stays behind queries the store.
             Err(error) => log::error!("event=config_unreadable peer={address} cause=\"{error}\""),
         }
     }
@@ -103,26 +104,26 @@
             }
         };
         let informed = self.state().fleet.revision() > 0;
-        let patience = if informed { FETCH_PATIENCE } else { FIRST_PATIENCE };
-        let on_piece = || lock(&self.view_fetches).record_progress(self.now(), address);
-        match self.peers.fetch(address, &request, patience, on_piece).await {
-            Ok(GatewayReply::View { routes: news, fleet, age }) => {
-                if let Some(news) = news {
-                    self.apply_route_update(address, &routes, news);
+        let timeouts = if informed { FETCH_TIMEOUTS } else { FIRST_TIMEOUTS };
+        let on_progress = || lock(&self.view_fetches).record_progress(self.now(), address);
+        match self.peers.fetch(address, &request, timeouts, on_progress).await {
+            Ok(GatewayReply::View { routes: update, fleet, age }) => {
+                if let Some(update) = update {
+                    self.apply_route_update(address, &routes, update);
                 }
                 if let Some(age) = age {
                     self.apply_age_reply(address, age);
                 }
-                if let Some(news) = fleet {
+                if let Some(update) = fleet {
                     let now = self.now();
-                    let (revision, partial) = (news.revision, news.is_partial);
-                    let (changed, removed) = (news.servers.len(), news.removed.len());
-                    let lives = self.state().fleet.apply_update(now, news);
+                    let (revision, partial) = (update.revision, update.is_partial);
+                    let (changed, removed) = (update.servers.len(), update.removed.len());
+                    let incarnations = self.state().fleet.apply_update(now, update);
                     log::info!(
                         "event=servers_heard peer={address} revision={revision} partial={partial} \
                          changed={changed} removed={removed}"
                     );
-                    self.handle_incarnation_changes(revision, &lives);
+                    self.handle_incarnation_changes(revision, &incarnations);
                 }
                 self.announce_view(ViewSource::Peer);
             }
--- a/src/gateway/view_store.rs
+++ b/src/gateway/view_store.rs
@@ -13,49 +13,49 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A listing's page begins within this; the store's usual answer takes some milliseconds.
-const LIST_LIMIT: Duration = Duration::from_millis(1000);
-/// How long one watch waits. Each costs a call, and a store that fell silent is noticed when it has
-/// passed with its slack. Another host must then have taken over within the 2 s in which a change
+/// Timeout until a page of a listing begins; the store usually answers within some milliseconds.
+const LIST_TIMEOUT: Duration = Duration::from_millis(1000);
+/// How long one watch waits. Each watch costs a call, and a store that stopped answering is detected when
+/// the wait and its slack have passed. Another host must then take over within the 2 s in which a change
 /// has to be in force.
 const WATCH_WAIT: Duration = Duration::from_millis(1000);
-/// A watch that only asks what has changed; the store takes no shorter wait.
+/// Wait of a watch that only polls for past changes; the store accepts no shorter one.
 const NO_WAIT: Duration = Duration::from_millis(1);
-/// How much later than its wait a watch may be answered; a slow store answers within 0.3 s.
+/// How long after its wait a watch may be answered; a slow store answers within 0.3 s.
 const WATCH_SLACK: Duration = Duration::from_millis(400);
-/// How often a host that lists looks whether a neighbour was faster.
-const HEARD_LOOK: Duration = Duration::from_millis(100);
+/// How often a host that lists checks whether another host has sent it a view.
+const PEER_VIEW_PERIOD: Duration = Duration::from_millis(100);
 
-/// Lists a kind for the first time, or stops as soon as a neighbour has handed it over: of hundreds of
-/// hosts that start together the first ones that finish spare the others their pages.
+/// Lists a kind for the first time, and stops as soon as another host has sent it: of hundreds of hosts
+/// that start at the same time, the first ones to finish spare the others the remaining pages.
 pub(super) async fn list_unless_received(
     host: &Arc<GatewayHost>,
     kind: FollowedKind,
 ) -> Result<FollowStep> {
     tokio::select! {
         listed = list(host, kind) => listed,
-        () = wait_for_peer_view(host, kind) => Ok(FollowStep::Heard),
+        () = wait_for_peer_view(host, kind) => Ok(FollowStep::ReceivedFromPeer),
     }
 }
 
 async fn wait_for_peer_view(host: &GatewayHost, kind: FollowedKind) {
     while host.known_revision(kind).is_none() {
-        tokio::time::sleep(HEARD_LOOK).await;
+        tokio::time::sleep(PEER_VIEW_PERIOD).await;
     }
 }
 
-/// Lists a kind. The first list of servers of a host's life may be stale: it is six pages for 266
-/// servers and 61 for 3,000, and 300 hosts that start together ask for them within the rates of the
-/// store only so.
+/// Lists a kind. The first list of servers after a start may be stale: a list is six pages for 266
+/// servers and 61 for 3,000, and only stale lists let 300 hosts that start at the same time stay within
+/// the rate limits of the store.
 pub(super) async fn list(host: &Arc<GatewayHost>, kind: FollowedKind) -> Result<FollowStep> {
     let asked_at = host.now();
     if kind == FollowedKind::Servers
         && host.known_revision(kind).is_none()
         && let Some(next) = list_stale(host).await?
     {
-        return Ok(FollowStep::Told { next, until: asked_at });
+        return Ok(FollowStep::Complete { next, until: asked_at });
     }
-    let listed = host.store.list(kind.name(), ListAge::Newest, LIST_LIMIT).await?;
+    let listed = host.store.list(kind.name(), ListAge::Newest, LIST_TIMEOUT).await?;
     record_store_answer(host, kind);
     match kind {
         FollowedKind::Routes => {
@@ -63,10 +63,10 @@
                 adopt_object(host, object);
             }
             for object in &listed.unreadable {
-                note_unreadable(host, object);
+                log_unreadable(host, object);
             }
-            if listed.is_whole && !listed.unreadable.iter().any(hides_config) {
-                host.note_config_complete(asked_at);
+            if listed.is_whole && !listed.unreadable.iter().any(may_be_config) {
+                host.record_config_complete(asked_at);
             }
         }
         FollowedKind::Servers => {
@@ -74,15 +74,15 @@
             host.announce_view(ViewSource::Store);
         }
     }
-    Ok(FollowStep::Told { next: listed.revision, until: asked_at })
+    Ok(FollowStep::Complete { next: listed.revision, until: asked_at })
 }
 
-/// Lists the servers as they were some seconds ago, and what has changed since; `None` if the store
-/// no longer knows that. Nothing is believed before both are there.
+/// Lists the servers as they were some seconds ago, and fetches the changes since then; `None` if the
+/// store no longer has them. The list is not used before the changes have arrived.
 async fn list_stale(host: &Arc<GatewayHost>) -> Result<Option<u64>> {
     let kind = SERVERS_KIND;
-    let listed = host.store.list(kind, ListAge::Stale, LIST_LIMIT).await?;
-    let plan = WatchPlan { wait: NO_WAIT, slack: LIST_LIMIT, longest: usize::MAX };
+    let listed = host.store.list(kind, ListAge::Stale, LIST_TIMEOUT).await?;
+    let plan = WatchPlan { wait: NO_WAIT, slack: LIST_TIMEOUT, longest: usize::MAX };
     let since = host.store.watch(kind, listed.revision, plan).await?;
     let WatchAnswer::Changes(changes, revision) = since else {
         return Ok(None);
@@ -90,29 +90,29 @@
     record_store_answer(host, FollowedKind::Servers);
     replace_servers(host, &listed);
     apply_changes(host, revision, &changes);
-    // Hosts of the other domains that start with this one list by themselves.
+    // Hosts of other domains that start at the same time list the servers themselves.
     host.announce_view(ViewSource::Peer);
     Ok(Some(revision))
 }
 
-/// How often the configuration is read where keys of callers depend on its age: the reading host knows it
-/// to be at most this old, and the others 0.5 s more. A watch proves no more than that nothing had changed
-/// when it began, a second ago, and costs as many calls.
+/// How often the configuration is read where caller keys depend on its age. For the reading host the
+/// configuration is at most this old, for other hosts 0.5 s older. A watch only proves that nothing had
+/// changed when it began, a second ago, and costs as many calls.
 const READ_PERIOD: Duration = Duration::from_millis(1000);
-/// A slow store begins to answer within 0.3 s.
-const READ_LIMIT: Duration = Duration::from_millis(500);
-/// Routes and organisations up to which a configuration is read anew each time: at about 250 bytes each
-/// 75 KB, 10 ms of work for a small host (reckoned). A larger one is watched, and known to be up to 2.5 s old.
-const MOST_READ_ENTRIES: usize = 300;
+/// Timeout of a read; a slow store begins to answer within 0.3 s.
+const READ_TIMEOUT: Duration = Duration::from_millis(500);
+/// Most routes and organisations of a configuration that is read periodically: at about 250 bytes each they
+/// are 75 KB, or 10 ms of work for a small host. A larger configuration is watched, and up to 2.5 s old.
+const MAX_READ_ENTRIES: usize = 300;
 
 impl GatewayHost {
-    /// Whether a kind is read again and again instead of watched.
-    pub(super) fn reads(&self, kind: FollowedKind) -> bool {
+    /// Whether a kind is read periodically instead of watched.
+    pub(super) fn reads_periodically(&self, kind: FollowedKind) -> bool {
         let state = self.state();
         let parts = state.routes.parts();
         let entries = parts.routes.len() + parts.organisations.len();
         let keyed = state.max_config_age().is_some();
-        kind == FollowedKind::Routes && keyed && entries <= MOST_READ_ENTRIES
+        kind == FollowedKind::Routes && keyed && entries <= MAX_READ_ENTRIES
     }
 }
 
@@ -120,27 +120,27 @@
 pub(super) async fn read_periodically(host: &Arc<GatewayHost>, after: u64) -> Result<FollowStep> {
     let asked_at = host.now();
     let step = read_config(host, after).await?;
-    host.note_view_complete(FollowedKind::Routes, asked_at, after);
+    host.record_view_complete(FollowedKind::Routes, asked_at, after);
     tokio::time::sleep(READ_PERIOD.saturating_sub(host.now().since(asked_at))).await;
     Ok(step)
 }
 
-/// Reads the configuration: it alone says what is in force, whatever came between `after` and now.
+/// Reads the configuration. Its current version alone is in force, regardless of versions between `after` and now.
 async fn read_config(host: &Arc<GatewayHost>, after: u64) -> Result<FollowStep> {
     let asked_at = host.now();
     let (kind, name) = ROUTES_OBJECT;
-    let object = host.store.read(kind, name, READ_LIMIT).await?;
+    let object = host.store.read(kind, name, READ_TIMEOUT).await?;
     record_store_answer(host, FollowedKind::Routes);
     if let Some(object) = &object {
         adopt_object(host, object);
     }
-    host.note_config_complete(asked_at);
+    host.record_config_complete(asked_at);
     let next = object.map_or(after, |object| object.revision.max(after));
-    Ok(FollowStep::Told { next, until: asked_at })
+    Ok(FollowStep::Complete { next, until: asked_at })
 }
 
-/// Asks for what is new after a revision, without waiting for a change: after a call that nobody answered, what may
-/// have been missed is wanted at once.
+/// Fetches the changes after a revision without waiting for further ones: after an unanswered call, missed changes are
+/// needed at once.
 pub(super) async fn poll_changes(
     host: &Arc<GatewayHost>,
     kind: FollowedKind,
@@ -152,7 +152,7 @@
     }
 }
 
-/// Waits for changes.
+/// Waits for changes of a kind after a revision.
 pub(super) async fn watch(
     host: &Arc<GatewayHost>,
     kind: FollowedKind,
@@ -168,7 +168,7 @@
     wait: Duration,
 ) -> Result<FollowStep> {
     let longest = match kind {
-        // Each version is whole: more than the longest object are several, and only the last one counts.
+        // Each version is complete: an answer longer than the longest object holds several, and only the last one counts.
         FollowedKind::Routes => LONGEST_OBJECT,
         FollowedKind::Servers => usize::MAX,
     };
@@ -178,7 +178,7 @@
     record_store_answer(host, kind);
     let (changes, revision) = match answer {
         WatchAnswer::Changes(changes, revision) => (changes, revision),
-        // Only those of the configuration are bounded.
+        // Only watches of the configuration have a bounded length.
         WatchAnswer::TooLong => return read_config(host, after).await,
         WatchAnswer::HistoryLost => {
             log::warn!("event=store_history_lost kind={} after={after}", kind.name());
@@ -187,20 +187,20 @@
     };
     match kind {
         FollowedKind::Routes => {
-            let mut is_known = true;
-            // The last version first: of those before it none is decoded.
+            let mut is_complete = true;
+            // The last version is applied first, so that earlier ones need not be decoded.
             for event in changes.iter().rev() {
                 match event {
                     StoreEvent::Stated(object) => adopt_object(host, object),
                     StoreEvent::Unreadable(object) => {
-                        is_known &= !hides_config(object);
-                        note_unreadable(host, object);
+                        is_complete &= !may_be_config(object);
+                        log_unreadable(host, object);
                     }
                     StoreEvent::Gone(_) => {}
                 }
             }
-            if is_known {
-                host.note_config_complete(asked_at);
+            if is_complete {
+                host.record_config_complete(asked_at);
             }
         }
         FollowedKind::Servers => {
@@ -210,16 +210,16 @@
             }
         }
     }
-    Ok(FollowStep::Told { next: revision, until: host.now() })
+    Ok(FollowStep::Complete { next: revision, until: host.now() })
 }
 
-/// Whether an object that cannot be read may be the newest configuration.
-fn hides_config(object: &UnreadableObject) -> bool {
+/// Whether an unreadable object may be the newest configuration.
+fn may_be_config(object: &UnreadableObject) -> bool {
     object.name.as_deref().is_none_or(|name| name == ROUTES_OBJECT.1)
 }
 
-/// Logs an object beside the configuration that cannot be read, once for each change.
-fn note_unreadable(host: &GatewayHost, object: &UnreadableObject) {
+/// Logs an unreadable object of the configuration's kind, once for each change of it.
+fn log_unreadable(host: &GatewayHost, object: &UnreadableObject) {
     if host.state().unreadable_objects.insert(object) {
         let (name, revision) = (logged_name(object), object.revision);
         let cause = logged(&object.cause);
@@ -227,7 +227,7 @@
     }
 }
 
-/// Adopts a configuration that is newer than the one in force, and tells others.
+/// Adopts a configuration that is newer than the one in force, and notifies other hosts.
 fn adopt_object(host: &Arc<GatewayHost>, object: &StoreObject) {
     let known = host.known_revision(FollowedKind::Routes).unwrap_or_default();
     if object.name != ROUTES_OBJECT.1 || object.revision <= known {
--- a/tests/confirmed_changes.rs
+++ b/tests/confirmed_changes.rs
@@ -1,13 +1,11 @@
-//! What the operator and the servers have written to the store is in force at each host within seconds.
+//! Changes that the operator and the servers have written to the store are in force at each host within seconds.
 //!
-//! What was seen: hosts of all failure domains answered 404 on routes that had been confirmed, served routes that had been
-//! dropped, and sent to servers that had said they were leaving, for as long as 25 s. How it came about: open connections
-//! between hosts fell silent, or a configuration of thousands of routes changed while the store answered no host. Cause:
-//! a connection between hosts was used for ever, whatever became of the calls on it; the same question was asked of the
-//! store again and again, with an answer longer than the time allowed for it; and a host that knew itself to be behind
-//! held its view to be fresh, since the store had answered others. What proved it: the logs of hosts that were behind
-//! for seconds tell of calls given up on old connections, of answers thrown away after a megabyte and a half, and of a
-//! store that had answered somebody a moment ago.
+//! The tests guard against hosts that, for up to 25 s, answer 404 on confirmed routes, serve removed routes, and send
+//! requests to draining servers. This happens when open connections between hosts become unresponsive, or when a
+//! configuration of thousands of routes changes while the store answers no host, through three faults: a connection
+//! between hosts stays in use although calls on it time out; a host repeats a store query whose answer, of a megabyte
+//! and a half, can't arrive before the timeout; and a host that knows that it is behind considers its view fresh
+//! because the store has answered other hosts.
 
 use rstest::rstest;
 use serde_json::Value;
@@ -25,14 +23,14 @@
 use entry_common::wait_until;
 use site_common::{call, runtime};
 
-/// Routes of a configuration of a megabyte.
+/// Number of routes in a configuration of one megabyte.
 const LARGE_ROUTES: usize = 4000;
-/// Versions that are confirmed while the store answers no host, and how long it does not.
-const AWAY_VERSIONS: u64 = 8;
-const AWAY_TIME: Duration = Duration::from_millis(1500);
-const LEAVING: &str = "i-service-0";
+/// Versions confirmed during an outage of the store, and the duration of the outage.
+const OUTAGE_VERSIONS: u64 = 8;
+const OUTAGE_TIME: Duration = Duration::from_millis(1500);
+const DRAINING_SERVER: &str = "i-service-0";
 
-/// Two hosts of one failure domain, behind links. The first one watches the store.
+/// Two hosts of one failure domain, connected through link proxies. The first one watches the store.
 struct LinkedHosts {
     site: TestSite,
     links: Vec<HostLink>,
@@ -49,29 +47,29 @@
             site.wait_ready().await;
         }
         let hosts = Self { site, links };
-        // By now the second host has asked the first one, on a connection that both keep.
+        // After this, the second host has fetched from the first one on a connection that both keep open.
         hosts.confirm(2).await;
         hosts
     }
 
-    /// Confirms a version with a route of its own, and waits until it is in force everywhere.
+    /// Confirms a version that adds a route, and waits until it is in force at all hosts.
     async fn confirm(&self, version: u64) {
         self.site.set_config(version, &added_route(version));
-        for (place, gateway) in self.site.hosts.iter().enumerate() {
-            let what = format!("version {version} is never in force at host {place}");
+        for (index, gateway) in self.site.hosts.iter().enumerate() {
+            let what = format!("version {version} is never in force at host {index}");
             wait_until(&what, || gateway.host.routes().version() >= version).await;
         }
     }
 
-    /// A server says that it is leaving; waits until no host gives it new work.
+    /// Puts a server into the draining state, and waits until no host sends it new work.
     async fn drain(&self) {
-        let server = self.site.servers.iter().find(|server| server.id == LEAVING);
+        let server = self.site.servers.iter().find(|server| server.id == DRAINING_SERVER);
         let server = server.expect("a server");
         let (service, address) = (server.service, server.address);
-        self.site.state_server(LEAVING, service, address, server.stage, "draining");
-        for (place, gateway) in self.site.hosts.iter().enumerate() {
-            let key = ServerKey::of(LEAVING);
-            let what = format!("host {place} never knows that the server leaves");
+        self.site.state_server(DRAINING_SERVER, service, address, server.stage, "draining");
+        for (index, gateway) in self.site.hosts.iter().enumerate() {
+            let key = ServerKey::of(DRAINING_SERVER);
+            let what = format!("host {index} never knows that the server is draining");
             wait_until(&what, || !gateway.host.state().fleet.is_ready(key)).await;
         }
     }
@@ -89,19 +87,19 @@
     reply.expect("an answer").status == 200
 }
 
-/// How the connections between hosts fail; datagrams still pass.
+/// How connections between hosts fail; datagrams are still delivered.
 #[derive(Debug, Clone, Copy)]
 enum LinkFault {
-    /// Those that are open fall silent, new ones work.
+    /// Open connections become unresponsive; new ones work.
     OpenSilent,
-    /// New ones are accepted, and silent as well.
+    /// Open connections become unresponsive; new ones are accepted, but are unresponsive as well.
     AllSilent,
 }
 
 #[rstest]
 #[case::open_connections(LinkFault::OpenSilent)]
 #[case::all_connections(LinkFault::AllSilent)]
-fn confirmed_changes_in_force_beside_silent_connections(#[case] fault: LinkFault) {
+fn confirmed_changes_in_force_with_silent_connections(#[case] fault: LinkFault) {
     runtime().block_on(async {
         let hosts = LinkedHosts::start().await;
         for link in &hosts.links {
@@ -118,11 +116,11 @@
     });
 }
 
-/// The link carries 10 Mbit/s, and no host has heard of any of the versions when the store answers again.
+/// The link carries 10 Mbit/s, and no host has received any of the versions when the store answers again.
 #[rstest]
 #[case::history_kept(false)]
 #[case::history_forgotten(true)]
-fn confirmed_changes_in_force_after_a_store_was_away(#[case] is_forgotten: bool) {
+fn confirmed_changes_in_force_after_a_store_outage(#[case] is_forgotten: bool) {
     runtime().block_on(async {
         let site = TestSite::start(SitePlan { hosts: 0, ..SitePlan::default() }).await;
         let mut site = site.expect("a site");
@@ -133,8 +131,8 @@
         site.add_host().await.expect("a host");
         site.wait_ready().await;
         site.store.set_fault(StoreFault::Busy);
-        tokio::time::sleep(AWAY_TIME).await;
-        let last = 2 + AWAY_VERSIONS;
+        tokio::time::sleep(OUTAGE_TIME).await;
+        let last = 2 + OUTAGE_VERSIONS;
         for version in 3..=last {
             site.set_config(version, &larger_config(version, LARGE_ROUTES));
         }
@@ -147,10 +145,10 @@
     });
 }
 
-/// A host hears that there is a newer version, and gets it neither from others nor from the store. Whether a route is there
-/// it can't tell: callers may come back, or ask another host.
+/// A host learns that a newer version exists, but receives it neither from other hosts nor from the store. It cannot tell
+/// whether a route exists, so it asks callers to retry later or at another host instead of answering 404.
 #[test]
-fn routes_not_denied_by_a_host_that_knows_itself_to_be_behind() {
+fn missing_routes_not_denied_by_a_host_that_is_behind() {
     runtime().block_on(async {
         let hosts = LinkedHosts::start().await;
         for link in &hosts.links {
@@ -161,7 +159,7 @@
         wait_until("the watcher never has the version", || first.routes().version() == 3).await;
         hosts.site.store.set_fault(StoreFault::Silent);
         let behind = &hosts.site.hosts[1];
-        wait_until("the other never hears of it", || behind.host.is_behind()).await;
+        wait_until("the other host never learns of the version", || behind.host.is_behind()).await;
         let reply = call_site(behind.callers, &call("GET", "added-3", "asks-early")).await;
         let reply = reply.expect("an answer");
         assert_eq!(reply.status, 503);
@@ -170,7 +168,10 @@
             link.connections.set(ProxyMode::Pass);
         }
         hosts.site.store.set_fault(StoreFault::None);
-        wait_until("it never gets the version", || behind.host.routes().version() == 3).await;
+        wait_until("the other host never receives the version", || {
+            behind.host.routes().version() == 3
+        })
+        .await;
         assert!(is_served(behind.callers, "added-3").await);
         let reply = call_site(behind.callers, &call("GET", "never-there", "asks-late")).await;
         assert_eq!(reply.expect("an answer").status, 404);
--- a/tests/gateway_start.rs
+++ b/tests/gateway_start.rs
@@ -1,4 +1,4 @@
-//! Hosts that start: whom they ask for their first view, and what they may believe of it.
+//! Start of hosts: where they fetch their first view, and which parts of it they may use.
 
 use std::time::Duration;
 use tealcleat::bench::site::{SitePlan, StoreFault, TestSite};
@@ -8,12 +8,12 @@
 
 use site_common::runtime;
 
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_PERIOD: Duration = Duration::from_millis(10);
 
-/// A stale list shows a server that has left since. It is not believed before the store has told what
-/// came after it.
+/// A stale list contains a server that has been removed since. The list must not be used before the
+/// changes after it have been fetched.
 #[test]
-fn first_list_of_servers_takes_none_that_has_left() {
+fn first_server_list_omits_removed_servers() {
     runtime().block_on(async {
         let mut site =
             TestSite::start(SitePlan { hosts: 0, ..SitePlan::default() }).await.expect("one");
@@ -27,9 +27,9 @@
     });
 }
 
-/// Pattern: hosts that restart one after the other while the store answers nobody.
+/// Hosts restart one after the other while the store answers no host.
 #[test]
-fn host_that_joins_others_hears_its_view_from_them() {
+fn joining_host_fetches_view_from_peers() {
     runtime().block_on(async {
         let mut site = TestSite::start(SitePlan::default()).await.expect("a site");
         site.store.set_fault(StoreFault::Busy);
@@ -42,24 +42,24 @@
     });
 }
 
-/// Pattern: all hosts start at once. The first that lists spares the others.
+/// All hosts start at the same time; the first one to finish its listing spares the others theirs.
 #[test]
-fn hosts_that_start_together_all_get_a_view() {
+fn hosts_started_together_all_get_a_view() {
     runtime().block_on(async {
         let plan = SitePlan { hosts: 6, ..SitePlan::default() };
         let site = TestSite::start(plan).await.expect("a site");
         for gateway in &site.hosts {
             while gateway.host.state().fleet.entries().count() < site.servers.len() {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_PERIOD).await;
             }
         }
     });
 }
 
-/// Pattern: hundreds of hosts that start together and list thousands of servers. The store refuses some
-/// pages; a listing that began again with its first page never came to its end.
+/// Hundreds of hosts start at the same time and list thousands of servers, and the store refuses some of
+/// the pages. A listing that restarts with its first page after a refusal never completes.
 #[test]
-fn listing_goes_on_after_a_refused_page() {
+fn listing_continues_after_a_refused_page() {
     runtime().block_on(async {
         let mut site =
             TestSite::start(SitePlan { hosts: 0, ..SitePlan::default() }).await.expect("one");
--- a/tests/gateway_stop.rs
+++ b/tests/gateway_stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops and reloads of a daemon on the platform.
+//! Graceful shutdowns and reloads of a gateway daemon.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,13 +21,13 @@
     }
 }
 
-/// Bench: panelbridge-kr-grown mix --seed 927878237806 broke LOST, since requests were read until
-/// 3.3 s after SIGTERM and then cut with the process.
+/// A host that reads requests until 3.3 s after SIGTERM loses those that the exit of the process cuts
+/// off. Load mix panelbridge-kr-grown, seed 927878237806, loses requests this way.
 #[test]
-fn stop_plan_reads_no_longer_than_the_platform_sends() {
+fn stop_plan_reads_only_until_the_platform_reroutes() {
     let plan = StopPlan::new(GRACE);
-    assert!(plan.drain_time >= Duration::from_secs(2), "two missed questions");
-    assert!(plan.drain_time < Duration::from_secs(3), "what is read later may be cut");
+    assert!(plan.drain_time >= Duration::from_secs(2), "two failed probes");
+    assert!(plan.drain_time < Duration::from_secs(3), "requests read later may be cut off");
     assert!(plan.exit_after < GRACE && plan.exit_after > GRACE * 5 / 6);
 }
 
@@ -75,14 +75,14 @@
     });
 }
 
-/// What was seen: a host that was stopped as planned read a request, passed it on and ended without its answer.
-/// How it came about: the request arrived in the very turn in which the host closed its connections; it looked
-/// once whether a request was under way, and read this one after that. What proved it: of 45 plays of one day
-/// requests were lost in just those 11 whose host wrote in_flight=1 as it stopped.
+/// A host that shuts down gracefully must not exit while a request that it has read is in flight.
 ///
-/// The hosts' only thread is kept busy while they should close, and each gets a request meanwhile.
+/// A request may arrive in the same scheduler tick in which the host closes its connections. A host that checks only
+/// once whether requests are in flight may read this one after the check, and exit without its answer; its log then
+/// shows in_flight=1 as it stops. To cause this, the hosts' only thread is kept busy while they should close their
+/// connections, and each host receives a request in the meantime.
 #[test]
-fn stopping_daemons_answer_what_they_read_last() {
+fn stopping_daemons_answer_last_requests() {
     let outside = runtime();
     let daemons = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let daemons = daemons.expect("a runtime");
@@ -97,12 +97,12 @@
     });
     let closes_after = StopPlan::new(GRACE).drain_time;
     let mut callers = Vec::new();
-    for (place, gateway) in site.hosts.iter().enumerate() {
+    for (index, gateway) in site.hosts.iter().enumerate() {
         let address = gateway.callers;
         callers.push(outside.spawn(async move {
             let mut open = SiteConnection::open(address).await.expect("it accepts");
             tokio::time::sleep(closes_after).await;
-            open.call(&plain(&format!("r{place}"))).await
+            open.call(&plain(&format!("r{index}"))).await
         }));
     }
     let cut = daemons.block_on(async {
@@ -115,7 +115,8 @@
     });
     assert_eq!(cut, [0; STOPPED_HOSTS], "requests cut off");
     for caller in callers {
-        // A request that crosses the close was not read; what was read is answered whole or refused.
+        // A request sent while the connection closes may not be read; one that is read is answered completely or
+        // refused.
         if let Ok(reply) = outside.block_on(caller).expect("it ends") {
             assert!(reply.complete && [200, 503].contains(&reply.status.as_u16()), "{reply:?}");
         }
@@ -123,7 +124,7 @@
 }
 
 const STOPPED_HOSTS: usize = 12;
-/// Longer than a host that sees nothing under way waits before it ends.
+/// Longer than a host with no request in flight waits before it exits.
 const SERVICE_TIME: Duration = Duration::from_millis(150);
 const BUSY_TIME: Duration = Duration::from_millis(100);
 
--- a/tests/machine_common/mod.rs
+++ b/tests/machine_common/mod.rs
@@ -1,24 +1,25 @@
-//! Daemons as processes of which each seems to have a machine of its own, which may be suspended; shared by tests.
+//! Helpers for tests that run daemons as processes, each as if on a machine of its own that may be suspended.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Builds the clock of a suspended machine, and returns the variables of a daemon that uses it.
+/// Builds the library that emulates the clock of a suspended machine, and returns the environment variables of a
+/// daemon that uses it.
 ///
-/// `name` tells the files of tests apart that run at the same time.
+/// `name` distinguishes the files of tests that run at the same time.
 pub fn held_clock(name: &str) -> Vec<(String, String)> {
-    preloaded(name, "held_clock")
+    preload_library(name, "held_clock")
 }
 
-/// The same for a daemon whose connections come from its machine's own address.
+/// Does the same for the library that makes a daemon connect from its machine's own address.
 pub fn source_address(name: &str) -> Vec<(String, String)> {
-    preloaded(name, "source_address")
+    preload_library(name, "source_address")
 }
 
-/// Builds a library with the C compiler that links this test.
-fn preloaded(name: &str, library: &str) -> Vec<(String, String)> {
+/// Builds a preloaded library with the system's C compiler, and returns the environment variables that load it.
+fn preload_library(name: &str, library: &str) -> Vec<(String, String)> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/machine_common");
     let source = folder.join(format!("{library}.c"));
     let built = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{library}-{name}.so"));
@@ -31,7 +32,7 @@
     vec![("LD_PRELOAD".to_owned(), built.display().to_string())]
 }
 
-/// A new folder for a test's files.
+/// Creates a folder for a test's files and returns its path.
 pub fn test_folder(name: &str) -> PathBuf {
     let folder = format!("tealcleat-{name}-{}", std::process::id());
     let folder = std::env::temp_dir().join(folder);
@@ -39,7 +40,7 @@
     folder
 }
 
-/// The built daemon.
+/// Path of the built daemon.
 pub fn daemon() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_tealcleatd"))
 }
--- a/tests/suspended_hosts.rs
+++ b/tests/suspended_hosts.rs
@@ -1,9 +1,9 @@
-//! Hosts that are suspended for seconds and go on as if no time had passed.
+//! Hosts that are suspended for seconds and resume as if no time had passed.
 //!
-//! What was seen: a host let a caller in whose key had been taken away longer ago than the bound. How it came about:
-//! the host was suspended; when it went on it held its configuration to be as young as before. Cause: all ages were
-//! told by the steady clock, which stands still meanwhile. What proves it: the same stop with a steady clock that goes
-//! on lets nobody in.
+//! The tests guard against a host that accepts a caller key after the bound on its revocation. This happens when a host
+//! measures the age of its configuration with the steady clock, which stops while the host is suspended: when it
+//! resumes, the configuration seems as new as before. With a steady clock that keeps running, the same suspension lets
+//! no revoked key in.
 
 use rstest::rstest;
 use std::net::Ipv4Addr;
@@ -19,10 +19,10 @@
 use machine_common::{daemon, held_clock, test_folder};
 use site_common::{call, runtime};
 
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_PERIOD: Duration = Duration::from_millis(20);
 const REVOCATION: Duration = Duration::from_millis(2000);
-/// Longer than the bound on revoked keys.
-const SUSPENDED: Duration = Duration::from_millis(2500);
+/// Longer than the bound on the revocation of keys.
+const SUSPENSION: Duration = Duration::from_millis(2500);
 
 fn keyed_call(id: &str) -> SiteCall {
     let mut call = call("POST", "once", id);
@@ -30,22 +30,22 @@
     call
 }
 
-/// Asks until the host has let the caller in.
-async fn let_in(host: &GatewayProcess) {
-    for serial in 0.. {
-        let reply = call_site(host.callers, &keyed_call(&format!("before-{serial}"))).await;
+/// Calls the host until it accepts the caller.
+async fn wait_accepted(host: &GatewayProcess) {
+    for index in 0.. {
+        let reply = call_site(host.callers, &keyed_call(&format!("before-{index}"))).await;
         if reply.is_ok_and(|reply| reply.status == 200) {
             return;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_PERIOD).await;
     }
 }
 
-/// The store is not reached, so that only its own clock tells the host how old its configuration is.
+/// The store is unreachable, so that the host knows the age of its configuration only from its own clock.
 #[rstest]
 #[case::steady_clock_held(true)]
 #[case::steady_clock_goes_on(false)]
-fn suspended_host_lets_no_revoked_key_in(#[case] is_held: bool) {
+fn suspended_host_refuses_revoked_keys(#[case] is_held: bool) {
     runtime().block_on(async {
         let site = TestSite::start(SitePlan { hosts: 0, ..SitePlan::default() }).await;
         let site = site.expect("a site");
@@ -66,11 +66,11 @@
             environment: &environment,
         })
         .expect("a host");
-        let_in(&host).await;
+        wait_accepted(&host).await;
         host.suspend().expect("it stops");
         site.store.set_fault(StoreFault::Silent);
         site.set_config(3, &config(3));
-        tokio::time::sleep(SUSPENDED).await;
+        tokio::time::sleep(SUSPENSION).await;
         host.resume().expect("it goes on");
         let reply = call_site(host.callers, &keyed_call("after")).await.expect("an answer");
         assert_eq!(reply.status, 503);
@@ -78,12 +78,12 @@
     });
 }
 
-/// Sources that may look at the steady clock: those that tell no age that outlives a suspension.
-const STEADY: [&str; 3] =
+/// Sources that may use the steady clock, because no time that they measure matters after a suspension.
+const STEADY_CLOCK_SOURCES: [&str; 3] =
     ["src/bench/", "src/bin/tealcleat-load/", "src/telemetry/bounded_writer.rs"];
 
 #[test]
-fn ages_told_by_no_clock_that_stands_still() {
+fn steady_clock_used_only_by_listed_sources() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut folders = vec![root.join("src")];
     let mut found = Vec::new();
@@ -96,8 +96,8 @@
             }
             let name = path.strip_prefix(root).expect("a source").display().to_string();
             let text = std::fs::read_to_string(&path).expect("a text");
-            let is_allowed = STEADY.iter().any(|place| name.starts_with(place));
-            if !is_allowed && names_steady_clock(&text) {
+            let is_allowed = STEADY_CLOCK_SOURCES.iter().any(|prefix| name.starts_with(prefix));
+            if !is_allowed && uses_steady_clock(&text) {
                 found.push(name);
             }
         }
@@ -105,7 +105,7 @@
     assert!(found.is_empty(), "{found:?}");
 }
 
-fn names_steady_clock(source: &str) -> bool {
+fn uses_steady_clock(source: &str) -> bool {
     source.lines().any(|line| {
         let is_used = line.contains("Instant::now()") && !line.contains("tokio::time::Instant");
         is_used || (line.starts_with("use std::time::") && line.contains("Instant"))
