--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -2,7 +2,7 @@
 //! argument.
 //!
 //! Inputs are entries of the platform's store, listed or watched, and outages of the store; the
-//! output is the list of servers that may get new work. [`watcher_role`] decides whether this host
+//! output is the list of servers that may get new work. [`watcher_role()`] decides whether this host
 //! queries the store itself.
 
 mod fleet_update;
--- a/src/membership/member_table.rs
+++ b/src/membership/member_table.rs
@@ -9,7 +9,7 @@
 
 const UPDATES_PER_MESSAGE: usize = 6;
 /// Each host sends an update this many times, multiplied by log2 of the table size.
-const SENDS: u32 = 3;
+const SEND_FACTOR: u32 = 3;
 /// A failure domain from which nothing was received for this long counts as unreachable. Each of its hosts
 /// sends its load to two hosts of other domains at least every 0.8 s.
 const DOMAIN_SILENCE: Duration = Duration::from_millis(3000);
@@ -206,7 +206,7 @@
             record.update.state = MemberState::Suspect;
             record.since = now;
             record.fast_suspicion = true;
-            record.sends_left = SENDS * 4;
+            record.sends_left = SEND_FACTOR * 4;
         }
     }
 
@@ -221,7 +221,7 @@
             }
             return;
         }
-        let sends = SENDS * (usize::BITS - self.members.len().leading_zeros()).max(1);
+        let sends = SEND_FACTOR * (usize::BITS - self.members.len().leading_zeros()).max(1);
         match self.members.get_mut(&update.incarnation) {
             Some(record) => {
                 let known = (record.update.version, record.update.state);
@@ -272,7 +272,7 @@
             if is_older {
                 record.update.state = MemberState::Dead;
                 record.since = now;
-                record.sends_left = SENDS;
+                record.sends_left = SEND_FACTOR;
                 actions.push(TableAction::Died(record.update.incarnation));
             }
         }
--- a/src/peers/peer_client.rs
+++ b/src/peers/peer_client.rs
@@ -78,7 +78,7 @@
         let exchange = self.exchange(&connection, bytes, timeouts, || {});
         let reply = tokio::time::timeout(left, exchange).await;
         let reply = reply.unwrap_or(Err(Error::Timeout));
-        self.record_result(address, &connection, started_at, reply.as_ref().err()).await;
+        self.discard_on_error(address, &connection, started_at, reply.as_ref().err()).await;
         decode(&reply?)
     }
 
@@ -98,7 +98,7 @@
         let started_at = self.clock.now();
         let connection = self.connection(address).await?;
         let reply = self.exchange(&connection, bytes.clone(), timeouts, &on_piece).await;
-        self.record_result(address, &connection, started_at, reply.as_ref().err()).await;
+        self.discard_on_error(address, &connection, started_at, reply.as_ref().err()).await;
         if reply.is_ok() || connection.opened_at >= started_at {
             return decode(&reply?);
         }
@@ -106,7 +106,7 @@
         let started_at = self.clock.now();
         let connection = self.connection(address).await?;
         let reply = self.exchange(&connection, bytes, timeouts, &on_piece).await;
-        self.record_result(address, &connection, started_at, reply.as_ref().err()).await;
+        self.discard_on_error(address, &connection, started_at, reply.as_ref().err()).await;
         decode(&reply?)
     }
 
@@ -139,7 +139,7 @@
 
     /// Discards a connection that failed, or that was silent while a call waited for its reply. A connection can become
     /// silent without being closed, and nothing else would detect that.
-    async fn record_result(
+    async fn discard_on_error(
         &self,
         address: SocketAddr,
         connection: &PeerConnection,
--- a/tests/first_views.rs
+++ b/tests/first_views.rs
@@ -87,9 +87,9 @@
 #[case::listing_over_a_small_link(1_000)]
 fn number_of_listing_hosts_does_not_grow_with_the_domain(#[case] listing_ms: u64) {
     let listing = Duration::from_millis(listing_ms);
-    let most = 2 * (listing_ms as usize / 60 * 8 + 8);
+    let limit = 2 * (listing_ms as usize / 60 * 8 + 8);
     for domain_hosts in [8, 59, 200, 400, 800] {
         let listers = listers(domain_hosts, listing);
-        assert!((1..=most).contains(&listers), "{listers} of {domain_hosts}, more than {most}");
+        assert!((1..=limit).contains(&listers), "{listers} of {domain_hosts}, more than {limit}");
     }
 }
--- a/tests/fleet_incarnations.rs
+++ b/tests/fleet_incarnations.rs
@@ -130,7 +130,7 @@
     #[case] stage: ServerStage,
     #[case] expected: OrderStep,
 ) {
-    let state = EngineState { started_at: started_at, stage: Some(stage), busy, orders_taken: 3 };
+    let state = EngineState { started_at, stage: Some(stage), busy, orders_taken: 3 };
     assert_eq!(order_step(&incarnation("i-1", 100), ServerStage::Decode, &state), expected);
 }
 
--- a/tests/many_changes.rs
+++ b/tests/many_changes.rs
@@ -29,8 +29,8 @@
 /// Records the orders again: a daemon drops them if it is not the one that gives orders or does not find the engines.
 fn record_orders(site: &TestSite) {
     let mut state = site.hosts[0].host.state();
-    for place in 0..CHANGES {
-        state.stage_changes.record_order(server(place), ServerStage::Decode);
+    for index in 0..CHANGES {
+        state.stage_changes.record_order(server(index), ServerStage::Decode);
     }
 }
 
@@ -83,10 +83,10 @@
 #[test]
 fn heaviest_loads_are_sent_first() {
     let mut board = LoadTable::default();
-    for place in 0..300 {
-        let memory_tokens = 1_000 + place as u32;
+    for index in 0..300 {
+        let memory_tokens = 1_000 + index as u32;
         board
-            .add(server(place), ServerLoad { requests: 1, memory_tokens, ..ServerLoad::default() });
+            .add(server(index), ServerLoad { requests: 1, memory_tokens, ..ServerLoad::default() });
     }
     assert_eq!(board.heaviest_own(1_000).len(), 300);
     let sent = board.heaviest_own(128);
--- a/tests/route_updates.rs
+++ b/tests/route_updates.rs
@@ -13,11 +13,11 @@
 
 const REVISION: u64 = 77;
 
-fn route(name: usize, service: &str) -> Arc<Route> {
+fn route(index: usize, service: &str) -> Arc<Route> {
     Arc::new(Route {
-        name: format!("route-{name}"),
+        name: format!("route-{index}"),
         host: "books.example".to_owned(),
-        path_prefix: format!("/{name}/"),
+        path_prefix: format!("/{index}/"),
         kind: RouteKind::Safe,
         priority: 1,
         time_limit: Duration::from_secs(20),
@@ -41,10 +41,10 @@
 /// Drops some routes, moves some to another service and adds some.
 fn changed(random: &mut StdRng, routes: &[Arc<Route>], part: f64) -> Vec<Arc<Route>> {
     let mut next = Vec::new();
-    for (name, known) in routes.iter().enumerate() {
+    for (index, known) in routes.iter().enumerate() {
         match random.random_range(0..3) {
             0 if random.random_bool(part) => {}
-            1 if random.random_bool(part) => next.push(route(name, "another")),
+            1 if random.random_bool(part) => next.push(route(index, "another")),
             _ => next.push(Arc::clone(known)),
         }
     }
@@ -62,7 +62,7 @@
 fn updated_table_equals_the_senders(#[case] count: usize, #[case] part: f64) {
     for seed in 0..40 {
         let mut random = StdRng::seed_from_u64(seed);
-        let routes: Vec<_> = (0..count).map(|name| route(name, "app")).collect();
+        let routes: Vec<_> = (0..count).map(|index| route(index, "app")).collect();
         let known = table(3, routes.clone());
         let newer = table(9, changed(&mut random, &routes, part));
         let update = RouteUpdate::of(&newer, REVISION, known.digest().as_ref());
@@ -74,7 +74,7 @@
 
 #[test]
 fn one_changed_route_of_thousands_sends_few_bytes() {
-    let mut routes: Vec<_> = (0..4000).map(|name| route(name, "app")).collect();
+    let mut routes: Vec<_> = (0..4000).map(|index| route(index, "app")).collect();
     let known = table(3, routes.clone());
     routes[17] = route(17, "another");
     let newer = table(4, routes);
@@ -89,7 +89,7 @@
 /// Guards against a mix of two versions, if the host adopts another version while it waits for the update.
 #[test]
 fn changes_to_another_table_are_rejected() {
-    let routes: Vec<_> = (0..300).map(|name| route(name, "app")).collect();
+    let routes: Vec<_> = (0..300).map(|index| route(index, "app")).collect();
     let known = table(3, routes.clone());
     let mut newer = routes.clone();
     newer.push(route(300, "app"));
--- a/tests/server_incarnations.rs
+++ b/tests/server_incarnations.rs
@@ -40,9 +40,10 @@
 
 /// Restarts a server and waits until all daemons know its new incarnation.
 async fn restart(site: &TestSite, id: &str, place: RestartPlace) {
-    let born = site.restart(id, place).await.expect("a restart");
+    let started_at = site.restart(id, place).await.expect("a restart");
     for gateway in &site.hosts {
-        while find(&gateway.host.state().fleet, id).and_then(|entry| entry.started_at) != Some(born)
+        while find(&gateway.host.state().fleet, id).and_then(|entry| entry.started_at)
+            != Some(started_at)
         {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
@@ -213,8 +214,8 @@
     runtime().block_on(async {
         let site = site_with_start_times(SitePlan { prefills: 6, ..SitePlan::default() }).await;
         for engine in &site.prefills {
-            let born = engine.born().expect("a start") + 1_000_000;
-            engine.restart(born, RestartPlace::Same).await.expect("a restart");
+            let started_at = engine.born().expect("a start") + 1_000_000;
+            engine.restart(started_at, RestartPlace::Same).await.expect("a restart");
         }
         record_low_prefill_work(&site);
         let sum = |count: fn(&SiteEngine) -> u64| {
