--- a/src/gateway/call_route.rs
+++ b/src/gateway/call_route.rs
@@ -84,7 +84,8 @@
     let Some(spec) = routes.service(service).cloned() else {
         return Err(CallEnd::NotRun(NotRunReason::NoServer, NOT_READY_PAUSE));
     };
-    let limit = head.deadline.map_or(route.time_limit, |deadline| deadline.min(route.time_limit));
+    let time_limit =
+        head.deadline.map_or(route.time_limit, |deadline| deadline.min(route.time_limit));
     {
         let mut state = host.state();
         let bounds = state.bounds.retries;
@@ -98,7 +99,7 @@
         caller: organisation.map(Organisation::key),
         body: &body,
     });
-    let admission = host.admit(&head.request_id, contents, limit).await;
+    let admission = host.admit(&head.request_id, contents, time_limit).await;
     log_admission(&head.request_id, contents, &admission);
     if matches!(admission, RequestAdmission::HeldBack(_)) {
         return Err(refuse(NotRunReason::HeldBack));
@@ -123,7 +124,7 @@
         charge,
         sent_at: AtomicU64::default(),
         received_at,
-        deadline: received_at + limit,
+        deadline: received_at + time_limit,
     })
 }
 
--- a/src/gateway/decode_reservation.rs
+++ b/src/gateway/decode_reservation.rs
@@ -12,7 +12,7 @@
 use crate::platform::TokenCounts;
 use crate::routes::EngineSpec;
 
-/// Memory reserved for a request at a decode server, and its entry on the load board.
+/// Memory reserved for a request at a decode server, and its entry in the load table.
 #[derive(Debug)]
 pub(super) struct DecodeReservation {
     pub hold: EngineResource,
@@ -21,7 +21,7 @@
     pub permit: SendPermit,
 }
 
-/// Adds a request to the load board.
+/// Adds a request to the load table.
 pub(super) fn decode_load(context: &CallContext, server: &ServerEntry) -> LoadGuard {
     let memory_tokens = context.head.tokens.prompt;
     let load = ServerLoad { requests: 1, memory_tokens, ..ServerLoad::default() };
--- a/src/gateway/event_relay.rs
+++ b/src/gateway/event_relay.rs
@@ -18,9 +18,9 @@
 /// after about twice that time.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long a new run is tried to be opened for a lost stream; callers give up after a gap of two seconds and more.
+/// How long opening a new run for a lost stream is retried; callers give up after a gap of two seconds and more.
 const RESUME_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Pause between these tries.
+/// Pause between these retries.
 const RESUME_RETRY_PAUSE: Duration = Duration::from_millis(60);
 /// Time for relayed events to be written to the caller's connection before a stream is cut.
 const CUT_DELAY: Duration = Duration::from_millis(10);
@@ -146,7 +146,7 @@
     log::info!("event=run_lost request={id} contents={contents} server={server} events={events}");
 }
 
-/// Opens a further run; while that is refused for want of a server that has room, it is retried as long as the caller
+/// Opens a further run; while that is refused for lack of a server that can take it, it is retried as long as the caller
 /// may wait.
 async fn resume_run(
     context: &CallContext,
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -12,9 +12,9 @@
 use crate::{Error, Result};
 use std::time::Duration;
 
-/// Requests that must not be repeated are sent on a connection only if it answered this recently.
+/// Requests that must not be retried are sent on a connection only if it answered this recently.
 const FRESH_CONNECTION_AGE: Duration = Duration::from_millis(1500);
-/// A repeatable request is sent to another server after this many objectives without an answer.
+/// A retryable request is sent to another server after this many objectives without an answer.
 const SILENCE_OBJECTIVES: u32 = 2;
 /// Servers tried that could not be connected to, so that nothing of the request reached them.
 const MAX_UNREACHED: u32 = 3;
@@ -155,8 +155,8 @@
     let load = ServerLoad { requests: 1, ..ServerLoad::default() };
     let _load = LoadGuard::new(&context.host, server.key(), load);
     context.host.record_server_event(server, ServerEvent::Sent);
-    let repeatable = context.route.is_retryable();
-    let may_retry = repeatable && record.sent + 1 < context.route.max_servers;
+    let is_retryable = context.route.is_retryable();
+    let may_retry = is_retryable && record.sent + 1 < context.route.max_servers;
     let silence_timeout = context.route.objective * SILENCE_OBJECTIVES;
     let timeout =
         if may_retry { silence_timeout.min(context.time_left()) } else { context.time_left() };
@@ -208,12 +208,12 @@
 }
 
 fn record_end(context: &CallContext, server: &ServerEntry, end: &AttemptEnd) {
-    let note = match end {
+    let event = match end {
         AttemptEnd::Answered(_) => ServerEvent::Served,
         AttemptEnd::Failed(_) | AttemptEnd::NotRun | AttemptEnd::Unknown(_) => ServerEvent::Errored,
         AttemptEnd::NotSent | AttemptEnd::Silent => ServerEvent::Unresponsive,
     };
-    context.host.record_server_event(server, note);
+    context.host.record_server_event(server, event);
     let name = match end {
         AttemptEnd::Answered(_) => return,
         AttemptEnd::Failed(_) => "failed",
--- a/src/gateway/run_open.rs
+++ b/src/gateway/run_open.rs
@@ -42,7 +42,7 @@
     pub reader: EventReader,
     /// Its first event; `None` if it has none.
     pub first: Option<StreamEvent>,
-    /// Its entry on the load board.
+    /// Its entry in the load table.
     pub load: LoadGuard,
 }
 
--- a/src/gateway/run_start.rs
+++ b/src/gateway/run_start.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// A decode server that has the prompt makes its first event within a few steps; after a longer
-/// silence a repeatable request may be sent to another server.
+/// silence a retryable request may be sent to another server.
 const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Why a run did not open.
@@ -70,12 +70,12 @@
             Ok(started) => started,
             Err(_elapsed) => Err(OpenFailure::Unknown("no_first_event")),
         };
-    let note = match &started {
+    let event = match &started {
         Ok(_) => ServerEvent::Served,
         Err(OpenFailure::Unknown(_)) => ServerEvent::Unresponsive,
         Err(_) => ServerEvent::Errored,
     };
-    context.host.record_server_event(server, note);
+    context.host.record_server_event(server, event);
     runs.may_have_run |=
         !matches!(&started, Err(OpenFailure::NotRun(_) | OpenFailure::Rejected(_)));
     log_start(context, server, part.source.is_some(), &started);
