--- a/src/bench/worlds/member_world.rs
+++ b/src/bench/worlds/member_world.rs
@@ -132,8 +132,8 @@
         }
         let view = ViewMark { config_version: after, fleet_revision: 0 };
         self.hosts[place].table.set_view(view);
-        let orders = self.hosts[place].table.push_updates(3, 1);
-        self.carry_out(place, orders);
+        let actions = self.hosts[place].table.push_updates(3, 1);
+        self.execute_actions(place, actions);
     }
 
     fn step(&mut self) {
@@ -141,8 +141,8 @@
         let now = self.now;
         for place in 0..self.hosts.len() {
             if self.hosts[place].alive && self.hosts[place].paused_until <= now {
-                let orders = self.hosts[place].table.tick(now);
-                self.carry_out(place, orders);
+                let actions = self.hosts[place].table.tick(now);
+                self.execute_actions(place, actions);
             }
         }
         let (due, rest) = self.flying.drain(..).partition(|datagram| datagram.due <= now);
@@ -165,8 +165,8 @@
             message.updates.retain(|update| update.incarnation != own);
         }
         self.report.tried += 1;
-        let orders = self.hosts[target].table.receive(self.now, &message);
-        self.carry_out(target, orders);
+        let actions = self.hosts[target].table.receive(self.now, &message);
+        self.execute_actions(target, actions);
     }
 
     fn is_cut(&self, from: usize, to: usize) -> bool {
@@ -174,9 +174,9 @@
         left != right && self.cut.is_some_and(|cut| cut == left || cut == right)
     }
 
-    fn carry_out(&mut self, place: usize, orders: Vec<TableAction>) {
-        for order in orders {
-            match order {
+    fn execute_actions(&mut self, place: usize, actions: Vec<TableAction>) {
+        for action in actions {
+            match action {
                 TableAction::Send(to, message) => self.send(place, to, message),
                 TableAction::FetchView(from) => {
                     let source = self.hosts.iter().position(|host| host.address == from);
--- a/src/host/config_loop.rs
+++ b/src/host/config_loop.rs
@@ -91,12 +91,12 @@
             return;
         }
         log::info!("event=config_adopted version={version}");
-        let orders = {
+        let actions = {
             let mut members = lock(&self.members);
             members.set_view(ViewMark { config_version: version, fleet_revision: 0 });
             members.push_updates(PUSH_FAN_OUT, PUSH_ABROAD)
         };
-        self.carry_out_orders(orders);
+        self.execute_actions(actions);
         let config = self.config();
         for (key, server) in lock(&self.owned).iter_mut() {
             if let Some(spec) = config.server(*key) {
@@ -105,9 +105,9 @@
         }
     }
 
-    pub(super) fn carry_out_orders(self: &Arc<Self>, orders: Vec<TableAction>) {
-        for order in orders {
-            match order {
+    pub(super) fn execute_actions(self: &Arc<Self>, actions: Vec<TableAction>) {
+        for action in actions {
+            match action {
                 TableAction::Send(address, message) => {
                     if let Ok(bytes) =
                         crate::peers::seal_datagram(&self.settings.shared_key, &message)
--- a/src/host/daemon.rs
+++ b/src/host/daemon.rs
@@ -72,13 +72,13 @@
             return;
         }
         log::info!("event=drain_began in_flight={}", self.in_flight.load(Ordering::Relaxed));
-        let orders = {
+        let actions = {
             let mut members = lock(&self.members);
             members.start_draining();
             members.push_updates(usize::MAX, usize::MAX)
         };
         let books = self.book_claims();
-        self.carry_out_orders(orders);
+        self.execute_actions(actions);
         let host = Arc::clone(self);
         self.runtime.spawn(async move { host.hand_over(books).await });
     }
--- a/src/host/gossip_loop.rs
+++ b/src/host/gossip_loop.rs
@@ -25,8 +25,8 @@
             Ok(message) => {
                 host.metrics().add("gossip_received_bytes", length as u64);
                 host.hear_version(message.view.config_version);
-                let orders = lock(&host.members).receive(host.now(), &message);
-                host.carry_out_orders(orders);
+                let actions = lock(&host.members).receive(host.now(), &message);
+                host.execute_actions(actions);
             }
             Err(error) => {
                 log::warn!("event=datagram_refused peer={address} cause=\"{error}\"");
@@ -56,8 +56,8 @@
     loop {
         ticker.tick().await;
         let now = host.now();
-        let orders = lock(&host.members).tick(now);
-        host.carry_out_orders(orders);
+        let actions = lock(&host.members).tick(now);
+        host.execute_actions(actions);
     }
 }
 
@@ -85,7 +85,7 @@
     else {
         return false;
     };
-    let orders = lock(&host.members).merge_all(host.now(), &theirs);
-    host.carry_out_orders(orders);
+    let actions = lock(&host.members).merge_all(host.now(), &theirs);
+    host.execute_actions(actions);
     true
 }
--- a/src/host/peer_desk.rs
+++ b/src/host/peer_desk.rs
@@ -24,11 +24,11 @@
             PeerRequest::Claims(server) => PeerReply::Claims(self.claims_on(server)),
             PeerRequest::StillHeld(attempts) => PeerReply::StillHeld(self.still_held(&attempts)),
             PeerRequest::Sync(news) => {
-                let (orders, ours) = {
+                let (actions, ours) = {
                     let mut members = lock(&self.members);
                     (members.merge_all(self.now(), &news), members.all_updates())
                 };
-                self.carry_out_orders(orders);
+                self.execute_actions(actions);
                 PeerReply::Members(ours)
             }
             PeerRequest::Config(version) => {
