--- a/src/gateway/call_end.rs
+++ b/src/gateway/call_end.rs
@@ -23,7 +23,7 @@
     ConfigTooOld,
     /// The configuration is too old to tell whether its route exists.
     RouteUnknown,
-    /// No owner can tell whether its organisation is within its limit.
+    /// No owner that could decide whether its organisation is within its limit can be reached.
     LimitUnknown,
     /// Servers crashed while they ran it.
     HeldBack,
@@ -70,7 +70,7 @@
     OverLimit(Duration),
     /// It may have run, but there is no answer.
     Unknown(&'static str),
-    /// Its time ran out while a server worked on it.
+    /// Its deadline passed while a server worked on it.
     TimedOut,
 }
 
--- a/src/gateway/decode_reservation.rs
+++ b/src/gateway/decode_reservation.rs
@@ -53,19 +53,19 @@
     lost: &[ServerKey],
 ) -> Result<DecodeReservation, NotRunReason> {
     let tokens = needed_tokens(context, engine, after);
-    let near = context.host.domain();
-    let mut search = MemorySearch::new(context.host.now(), near);
+    let local_domain = context.host.domain();
+    let mut search = MemorySearch::new(context.host.now(), local_domain);
     loop {
-        let wish = ServerCriteria {
+        let criteria = ServerCriteria {
             stage: Some(ServerStage::Decode),
             kind: RankingCriterion::DecodeMemory(engine.memory_tokens),
-            local_domain: near,
+            local_domain,
             remote_penalty: search.remote_penalty(),
             rank: context.rank,
         };
         // The servers are ranked again for each step: one that did not answer took time, in which
         // others may have started draining.
-        let mut ranked = context.host.rank_ready_servers(context.service, &wish);
+        let mut ranked = context.host.rank_ready_servers(context.service, &criteria);
         ranked.retain(|server| !lost.contains(&server.key()));
         if ranked.is_empty() {
             return Err(prefer_at_limit(context, NotRunReason::NoServer));
--- a/src/gateway/event_relay.rs
+++ b/src/gateway/event_relay.rs
@@ -146,22 +146,22 @@
     log::info!("event=run_lost request={id} contents={contents} server={server} events={events}");
 }
 
-/// Opens a further run; while that is refused for lack of a server that can take it, it is retried as long as the caller
-/// may wait.
+/// Opens a further run; while that is refused for lack of a server that can take it, it is retried as long as the
+/// caller may wait.
 async fn resume_run(
     context: &CallContext,
     engine: &EngineSpec,
     after: Option<u64>,
     runs: &mut RunRecord,
 ) -> std::result::Result<OpenRun, CallEnd> {
-    let began = context.host.now();
+    let started_at = context.host.now();
     loop {
         let opened = open_stream(context, engine, after, runs).await;
         let refused = matches!(
             opened,
             Err(CallEnd::NotRun(reason, _)) if reason != NotRunReason::HeldBack
         );
-        let waited = context.host.now().since(began);
+        let waited = context.host.now().since(started_at);
         if !refused || waited > RESUME_TIMEOUT || context.time_left().is_zero() {
             return opened;
         }
@@ -207,7 +207,7 @@
     }
 }
 
-/// Waits for the next event, of a resumable stream no longer than for the silence timeout.
+/// Waits for the next event; a resumable stream waits no longer than the silence timeout.
 async fn next_event(
     context: &CallContext,
     reader: &mut super::event_reader::EventReader,
--- a/src/gateway/limit_charge.rs
+++ b/src/gateway/limit_charge.rs
@@ -7,9 +7,7 @@
 use super::peer_messages::GatewayDatagram;
 use super::run_open::refuse;
 use crate::keys::{IncarnationId, NameKey, OrgKey, TimePoint};
-use crate::limits::{
-    LimitLoan, LimitReply, LimitRequest, LimitShare, LoanRequest, OwnerChoice, choose_owner,
-};
+use crate::limits::{LimitLoan, LimitReply, LimitRequest, LimitShare, LoanRequest, OwnerChoice};
 use crate::membership::{MemberState, MemberUpdate};
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -283,7 +281,8 @@
     fn owner(&self, now: TimePoint, org: OrgKey, domain: NameKey) -> OwnerChoice {
         let hosts = self.members.owners(domain).map(|(_, host)| host);
         let is_alone = self.members.is_alone();
-        choose_owner(now, org, self.members.own().incarnation, is_alone, hosts, &self.silent_owners)
+        let own = self.members.own().incarnation;
+        crate::limits::choose_owner(now, org, own, is_alone, hosts, &self.silent_owners)
     }
 
     /// Whether this host owns a failure domain's share of a limit or retry pool, without a break since `since`.
@@ -301,8 +300,8 @@
             && crate::limits::has_owned(key, own, others, since)
     }
 
-    /// What this host may grant as an owner: of its failure domain's share, the fraction that the hosts it sees there are
-    /// of all that it ever saw there. The others may be partitioned from it, and grant the rest.
+    /// What this host may grant as an owner: of its failure domain's share, the fraction that the hosts it sees there
+    /// are of all that it ever saw there. The others may be partitioned from it, and grant the rest.
     fn domain_share(&self, org: OrgKey, domain: NameKey) -> Option<LimitShare> {
         let (seen, known) = self.count_domain_hosts(domain);
         Some(self.whole_share(org)?.scaled(seen, known))
--- a/src/gateway/limit_gossip.rs
+++ b/src/gateway/limit_gossip.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How often a host sends limits that are new to it: by calculation, all of 300 hosts receive them within half a second.
+/// How often a host sends limits that are new to it: calculated, all of 300 hosts receive them within half a second.
 const GOSSIP_PERIOD: Duration = Duration::from_millis(100);
 /// Number of hosts of the own failure domain that each message is sent to.
 const NEAR_TARGETS: usize = 4;
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Announces that a server's limit changed. The change is sent at once, so that 300 hosts know it within a few round
-    /// trips instead of as many periods.
+    /// Announces that a server's limit changed. The change is sent at once, so that 300 hosts know it within a few
+    /// round trips instead of as many periods.
     pub(super) fn announce_limit_change(&self, change: &LimitChange, source: &str) {
         let now = self.now();
         let LimitUpdate { server, version, limit } = change.current;
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -89,15 +89,15 @@
     if exhausted || context.time_left().is_zero() || context.is_held_back(record.sent).await {
         return None;
     }
-    let (kind, near) = (RankingCriterion::Requests, context.host.domain());
-    let wish = ServerCriteria {
+    let (kind, local_domain) = (RankingCriterion::Requests, context.host.domain());
+    let criteria = ServerCriteria {
         stage: None,
         kind,
-        local_domain: near,
+        local_domain,
         remote_penalty: REMOTE_DOMAIN_PENALTY,
         rank: context.rank,
     };
-    let ranked = context.host.rank_ready_servers(context.service, &wish);
+    let ranked = context.host.rank_ready_servers(context.service, &criteria);
     let untried = ranked.into_iter().filter(|server| !record.tried.contains(&server.key()));
     let (server, permit) = first_permitted(context, untried).await?;
     let is_retry = record.sent > 0;
@@ -113,12 +113,12 @@
     context: &CallContext,
     ranked: impl Iterator<Item = ServerEntry>,
 ) -> Option<(ServerEntry, SendPermit)> {
-    let began = context.host.now();
+    let started_at = context.host.now();
     for server in ranked {
         if let Some(permit) = context.permit(&server).await {
             return Some((server, permit));
         }
-        if context.host.now().since(began) > PERMIT_TIME {
+        if context.host.now().since(started_at) > PERMIT_TIME {
             break;
         }
     }
--- a/src/gateway/prompt_read.rs
+++ b/src/gateway/prompt_read.rs
@@ -35,20 +35,20 @@
 }
 
 /// Has the prompt read by a prefill server, preferably in the failure domain of its decode server.
-pub(super) async fn read_prompt(context: &CallContext, near: NameKey) -> PromptEnd {
+pub(super) async fn read_prompt(context: &CallContext, decode_domain: NameKey) -> PromptEnd {
     if context.is_trial {
         // A request on trial is sent to its decode server only, since one server suffices for the trial.
         return PromptEnd::LeftToDecode;
     }
     let (kind, rank) = (RankingCriterion::PromptQueue(FULL_QUEUE_TOKENS), context.rank);
-    let wish = ServerCriteria {
+    let criteria = ServerCriteria {
         stage: Some(ServerStage::Prefill),
         kind,
-        local_domain: near,
+        local_domain: decode_domain,
         remote_penalty: REMOTE_DOMAIN_PENALTY,
         rank,
     };
-    let ranked = context.host.rank_ready_servers(context.service, &wish);
+    let ranked = context.host.rank_ready_servers(context.service, &criteria);
     let wait = ranked.first().map(|best| context.host.prompt_wait(context.service, best));
     if choose_reader(wait, context.route.objective) == PromptReader::Decode {
         let wait = wait.map_or(-1, |wait| i64::try_from(wait.as_millis()).unwrap_or(i64::MAX));
@@ -137,14 +137,14 @@
     let _load = LoadGuard::new(&context.host, server.key(), load);
     context.host.record_server_event(server, ServerEvent::Sent);
     let timeout = READ_TIMEOUT.min(context.time_left());
-    let began = context.host.now();
+    let started_at = context.host.now();
     let exchange = request_read(context, server, timeout, &mut permit);
     let read =
         tokio::time::timeout(timeout, exchange).await.map_err(|_elapsed| Error::Timeout)??;
     if matches!(read, ReadEnd::Read(_)) {
         context.host.record_server_event(server, ServerEvent::Served);
         let now = context.host.now();
-        let took = now.since(began);
+        let took = now.since(started_at);
         context
             .host
             .state()
--- a/src/gateway/send_permit.rs
+++ b/src/gateway/send_permit.rs
@@ -40,8 +40,8 @@
         self.is_used = false;
     }
 
-    /// Renews the permit after a delay in which the server may have stated a limit, or this host may have been suspended;
-    /// `None` if it is refused.
+    /// Renews the permit after a delay in which the server may have stated a limit, or this host may have been
+    /// suspended; `None` if it is refused.
     pub async fn renewed(self, context: &CallContext, server: &ServerEntry) -> Option<Self> {
         let mut permit = self;
         let now = permit.host.now();
--- a/src/gateway/server_call.rs
+++ b/src/gateway/server_call.rs
@@ -22,7 +22,7 @@
     Read,
     /// Generating tokens.
     Run,
-    /// A whole request of a plain service.
+    /// A complete request of a plain service.
     Plain,
     /// Holds, reports and releases.
     Control,
@@ -42,7 +42,7 @@
     }
 
     /// How an answer is matched to its call. Callers' requests are distinguished by their ids; answers to the router's
-    /// own calls carry none. The answer to an order is only a status, so an answer to another call would be accepted.
+    /// own calls carry none. The answer to an order is only a status, and that of another call would be accepted.
     const fn proof(self) -> AnswerProof {
         match self {
             Self::Read | Self::Run | Self::Plain => AnswerProof::Id(REQUEST_ID),
--- a/tests/limited_servers.rs
+++ b/tests/limited_servers.rs
@@ -1,8 +1,8 @@
 //! An overloaded backend server states in its answers how many requests a second it accepts from all hosts together.
 //!
 //! Guards against ignored limits: servers of a plain service stated 3 to 5 requests a second and still received some
-//! 20 a second from hosts that had received those answers. No host read a limit on the sum over all hosts, and what they
-//! sent to a server was not counted in one place. The hosts' logs state when each host learned of a limit and what it
+//! 20 a second from hosts that had received those answers. No host read a limit on the sum over all hosts, and what
+//! they sent to a server was not counted in one place. The hosts' logs state when each host learned of a limit and what it
 //! had sent; these tests use the server's own count of arrivals.
 
 use rstest::rstest;
--- a/tests/shared_repeats.rs
+++ b/tests/shared_repeats.rs
@@ -1,5 +1,5 @@
-//! Retries through real daemons: a host whose own share of the retry budget is less than one retry takes retries from the
-//! pool of its failure domain.
+//! Retries through real daemons: a host whose own share of the retry budget is less than one retry takes retries from
+//! the pool of its failure domain.
 
 use std::time::Duration;
 use tealcleat::bench::site::{ServiceFault, SitePlan, TestSite};
