--- a/src/limits/limit_meter.rs
+++ b/src/limits/limit_meter.rs
@@ -43,10 +43,10 @@
     }
 
     /// Applies the owner's reply to a request for `units`.
-    pub fn apply_reply(&mut self, now: TimePoint, answer: &LimitReply, units: u32) {
-        let account = self.account(now, answer.org);
-        account.last_level = Some((answer.level, now));
-        if answer.refused_ms.is_some() {
+    pub fn apply_reply(&mut self, now: TimePoint, reply: &LimitReply, units: u32) {
+        let account = self.account(now, reply.org);
+        account.last_level = Some((reply.level, now));
+        if reply.refused_ms.is_some() {
             account.used -= i64::from(units);
             account.sent = account.used;
         }
@@ -70,8 +70,8 @@
         let had_ample = account
             .level_within(now, AMPLE_LIFETIME)
             .is_some_and(|level| f64::from(level) >= share.burst * AMPLE_LEVEL);
-        let own = share.for_host(hosts);
-        let is_allowed = had_ample && account.fallback.try_take(now, &own, f64::from(units));
+        let host_share = share.for_host(hosts);
+        let is_allowed = had_ample && account.fallback.try_take(now, &host_share, f64::from(units));
         if !is_allowed {
             account.used -= i64::from(units);
         }
--- a/src/quarantine/crash_exchange.rs
+++ b/src/quarantine/crash_exchange.rs
@@ -109,14 +109,14 @@
         }
         let mut is_new = false;
         for InterruptedRequest { request, ran_ms } in &update.requests {
-            let began_at = at - Duration::from_millis((*ran_ms).into());
-            let run = InterruptedRun { request: *request, started_at: began_at };
+            let started_at = at - Duration::from_millis((*ran_ms).into());
+            let run = InterruptedRun { request: *request, started_at };
             is_new |= self.add(now, at, idle_since, update.server, run) != RunChange::Unchanged;
         }
         if let Some(record) = self.crashes.get_mut(&update.server) {
-            let returned = idle_since.since(record.idle_since) >= RETURN_PERIOD / 2;
+            let has_returned = idle_since.since(record.idle_since) >= RETURN_PERIOD / 2;
             record.idle_since = record.idle_since.max(idle_since);
-            is_new |= returned;
+            is_new |= has_returned;
         }
         is_new
     }
--- a/src/quarantine/crash_tracker.rs
+++ b/src/quarantine/crash_tracker.rs
@@ -16,9 +16,9 @@
 pub(super) const RETURN_PERIOD: Duration = Duration::from_secs(60);
 /// Maximum number of requests whose trial is remembered.
 const MAX_TRIALS: usize = 256;
-/// How long after a host learned of a crash all requests that were in flight at it are known. Other hosts find out
-/// within 0.3 s that a server which broke off connections has crashed, and their updates reach all of 300 hosts within
-/// half a second more.
+/// How long after it learns of a crash a host knows all requests that were in flight. Other hosts find out within 0.3 s
+/// that a server which broke off connections has crashed, and their updates reach all of 300 hosts within half a second
+/// more.
 pub const SETTLE_TIME: Duration = Duration::from_millis(800);
 /// How long after its last crash a request that is held back on weak evidence is tried. By then the servers are back,
 /// and other requests that may have caused the crashes are known.
@@ -61,12 +61,12 @@
     ) -> bool {
         let ConnectionLoss { request, sent_at, lost_at } = *loss;
         let run = InterruptedRun { request, started_at: sent_at };
-        let added = self.add(now, lost_at, now, server, run);
-        if added != RunChange::Unchanged {
+        let change = self.add(now, lost_at, now, server, run);
+        if change != RunChange::Unchanged {
             self.schedule_sends(server);
             self.trim();
         }
-        added == RunChange::New
+        change == RunChange::New
     }
 
     /// Records that a request was answered in full, which shows that it does not crash servers.
@@ -108,8 +108,9 @@
         SETTLE_TIME.saturating_sub(self.received_until.since(record.learned_at))
     }
 
-    /// Records that this host has received all updates until `now`. After a long gap the host was suspended, and the
-    /// updates that arrived in the meantime are still to be read, so crashes that were not settled before start again.
+    /// Records that this host has received all updates until `now`. A gap of at least [`SETTLE_TIME`] means that the host
+    /// was suspended and still has to read the updates of that time. Crashes that were not settled before the gap then
+    /// wait for the whole settle time again.
     pub(super) fn record_received(&mut self, now: TimePoint) {
         let last = std::mem::replace(&mut self.received_until, now);
         if now.since(last) < SETTLE_TIME {
@@ -198,11 +199,11 @@
         let record = record.or_insert_with(|| CrashRecord::new(now, at, idle_since));
         // The earliest detection is the closest to the actual time of the crash.
         record.crashed_at = record.crashed_at.min(at);
-        let added = record.add(run);
-        if added == RunChange::New {
+        let change = record.add(run);
+        if change == RunChange::New {
             self.requests.entry(request).or_default().push(server);
         }
-        added
+        change
     }
 
     pub(super) fn schedule_sends(&mut self, server: ServerKey) {
--- a/tests/retry_pools.rs
+++ b/tests/retry_pools.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum FleetFault {
     /// All hosts agree on one owner.
-    None,
+    Stable,
     /// Another host becomes the owner every second.
     OwnersChange,
     /// Each of two hosts is considered the owner by half of the hosts, for three seconds in every six.
@@ -70,14 +70,14 @@
         let (domain, index) = (host % domains, host / domains);
         let known = self.hosts.len() / domains;
         let (owner, seen) = match self.fault {
-            FleetFault::None => (0, known),
+            FleetFault::Stable => (0, known),
             FleetFault::OwnersChange => ((millis / 1000) as usize % known, known),
             FleetFault::TwoOwners if millis % 6000 < 3000 => (index % 2, known),
             FleetFault::TwoOwners => (0, known),
             FleetFault::Partition => (index % 3, known.div_ceil(3)),
         };
         let share = RetryShare::for_domain(&self.bounds, seen, known);
-        let is_settled = matches!(self.fault, FleetFault::None | FleetFault::Partition);
+        let is_settled = matches!(self.fault, FleetFault::Stable | FleetFault::Partition);
         let request = RetryRequest { sequence: 0, service: SERVICE, count: 1 };
         self.pools[owner * domains + domain].receive(at(millis), &request, &share, is_settled)
     }
@@ -101,7 +101,7 @@
 #[case::twice_the_size(2_000, 370)]
 #[case::twice_the_traffic(2_000, 740)]
 fn sparse_traffic_retries_granted(#[case] hosts: usize, #[case] requests_per_s: u64) {
-    let mut fleet = RetryFleet::new(hosts, 5, 1_000.0, FleetFault::None);
+    let mut fleet = RetryFleet::new(hosts, 5, 1_000.0, FleetFault::Stable);
     let mut random = 7_u64;
     for request in 0..requests_per_s * 30 {
         let millis = 20_000 + request * 1000 / requests_per_s;
@@ -124,7 +124,7 @@
 fn retry_storm_bounded(
     #[values(10, 300, 1_000, 2_000)] hosts: usize,
     #[values(
-        FleetFault::None,
+        FleetFault::Stable,
         FleetFault::OwnersChange,
         FleetFault::TwoOwners,
         FleetFault::Partition
--- a/tests/server_owners.rs
+++ b/tests/server_owners.rs
@@ -158,7 +158,7 @@
     assert!(urgent + usual >= 76, "{urgent} and {usual}");
 }
 
-/// Callers that are refused at the same time are told to retry one after the other_host.
+/// Callers that are refused at the same time are told to retry one after the other.
 #[test]
 fn callers_retry_at_the_rate_of_the_limit() {
     let mut owner = TestOwner::new("2");
