--- a/src/bench/worlds/claim_world.rs
+++ b/src/bench/worlds/claim_world.rs
@@ -264,8 +264,7 @@
         let Some(claimant) = claimant else { return };
         let presented = claimant.outcomes.present_claimed(key, attempt, BODY);
         if presented == KeyStatus::NotRun {
-            let ask = ClaimRequest::Release(key, attempt);
-            let _ = claimant.bucket.submit(ask);
+            let _ = claimant.bucket.submit(ClaimRequest::Release(key, attempt));
         }
         self.tell(key, presented);
     }
