--- a/src/gateway/crash_watch.rs
+++ b/src/gateway/crash_watch.rs
@@ -63,8 +63,8 @@
 
 impl GatewayHost {
     /// Whether a request is held back. A request that seems to crash servers waits until it is known which other
-    /// requests were in flight there. If that takes longer than the time that it has `left`, or more and more servers
-    /// crash meanwhile, the request is sent.
+    /// requests were in flight there. If that takes longer than the time that it has `left`, or servers keep
+    /// crashing meanwhile, the request is sent.
     async fn resolve_hold(&self, id: &str, request: RequestKey, left: Duration) -> bool {
         let max_wait = left.min(SETTLE_TIME);
         let (began, mut waited) = (self.now(), Duration::ZERO);
@@ -95,10 +95,10 @@
             return RequestAdmission::Admitted;
         }
         let now = self.now();
-        let is_elected_leader = self.is_elected_leader();
+        let is_leader = self.is_elected_leader();
         let mut state = self.state();
         let evidence = state.crashes.evidence(request);
-        if is_elected_leader && state.crashes.take_trial(now, request) {
+        if is_leader && state.crashes.take_trial(now, request) {
             return RequestAdmission::Trial(evidence);
         }
         state.crashes.record_return(now, request);
@@ -109,10 +109,10 @@
         self: &Arc<Self>,
         server: &ServerEntry,
         request: RequestKey,
-        began_at: TimePoint,
+        sent_at: TimePoint,
     ) {
         let key = server.key();
-        let loss = ConnectionLoss { request, sent_at: began_at, lost_at: self.now() };
+        let loss = ConnectionLoss { request, sent_at, lost_at: self.now() };
         let is_first = {
             let mut state = self.state();
             if state.crashes.has_crashed(key) {
--- a/src/gateway/gateway_host.rs
+++ b/src/gateway/gateway_host.rs
@@ -84,7 +84,7 @@
     pub(super) view_fetches: Mutex<ViewFetches>,
     pub(super) routes_unreachable: AtomicBool,
     pub(super) servers_unreachable: AtomicBool,
-    pub(super) stop: watch::Sender<StopPhase>,
+    pub(super) stop_sender: watch::Sender<StopPhase>,
     pub(super) in_flight: AtomicU64,
 }
 
@@ -149,7 +149,7 @@
             view_fetches: Mutex::default(),
             routes_unreachable: AtomicBool::new(false),
             servers_unreachable: AtomicBool::new(false),
-            stop: watch::Sender::new(StopPhase::Serving),
+            stop_sender: watch::Sender::new(StopPhase::Serving),
             in_flight: AtomicU64::new(0),
             settings,
         }
@@ -187,14 +187,14 @@
 
     /// The current phase of a graceful shutdown.
     pub fn stop_phase(&self) -> StopPhase {
-        *self.stop.borrow()
+        *self.stop_sender.borrow()
     }
 
     /// Waits until the host reads no more requests.
     pub(super) async fn wait_for_closing(&self) {
-        let mut stop = self.stop.subscribe();
+        let mut phases = self.stop_sender.subscribe();
         // The sender lives as long as this host, so that the wait ends only when the phase is reached.
-        drop(stop.wait_for(|phase| *phase >= StopPhase::Closing).await);
+        drop(phases.wait_for(|phase| *phase >= StopPhase::Closing).await);
     }
 
     /// Applies changed settings, as far as that is possible without a restart.
@@ -217,9 +217,9 @@
     pub fn is_ready(&self) -> bool {
         let now = self.now();
         let state = self.state();
-        let informed = state.routes.version() > 0 && state.fleet.revision() > 0;
-        let permits = !state.is_config_too_old(now);
-        informed && permits && self.stop_phase() == StopPhase::Serving
+        let has_view = state.routes.version() > 0 && state.fleet.revision() > 0;
+        let is_config_valid = !state.is_config_too_old(now);
+        has_view && is_config_valid && self.stop_phase() == StopPhase::Serving
     }
 
     /// Number of hosts among which limits that apply to all of them together are divided.
--- a/src/gateway/gateway_start.rs
+++ b/src/gateway/gateway_start.rs
@@ -83,7 +83,7 @@
     pub async fn stop_gracefully(self: &Arc<Self>) -> u64 {
         let plan = StopPlan::new(self.state().bounds.grace);
         let exit_at = self.now() + plan.exit_after;
-        self.stop.send_replace(StopPhase::Draining);
+        self.stop_sender.send_replace(StopPhase::Draining);
         let drain_actions = {
             let mut state = self.state();
             state.members.start_draining();
@@ -92,14 +92,14 @@
         self.execute_actions(drain_actions);
         log::info!("event=stop_began in_flight={}", self.in_flight.load(Ordering::Relaxed));
         tokio::time::sleep(plan.drain_time).await;
-        self.stop.send_replace(StopPhase::Closing);
+        self.stop_sender.send_replace(StopPhase::Closing);
         // A connection that is told to close may still read a request in the same scheduler tick, so that
         // only a later check can show that nothing is in flight.
         tokio::time::sleep(DRAIN_POLL).await;
         while self.in_flight.load(Ordering::Relaxed) > 0 && self.now() < exit_at {
             tokio::time::sleep(DRAIN_POLL).await;
         }
-        self.stop.send_replace(StopPhase::Ending);
+        self.stop_sender.send_replace(StopPhase::Ending);
         // Leaves time for finished answers to be sent from the socket buffers.
         tokio::time::sleep(DRAIN_POLL).await;
         let cut = self.in_flight.load(Ordering::Relaxed);
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -36,7 +36,7 @@
     pub limit_ledger: LimitLedger,
     /// Owners that do not reply to this host.
     pub silent_owners: SilentOwners,
-    /// The backend servers.
+    /// View of the backend servers.
     pub fleet: FleetView,
     /// How fresh the view of the backend servers is.
     pub servers_freshness: ViewFreshness,
@@ -70,7 +70,7 @@
     pub store_answered_at: TimePoint,
     /// Hosts that the store does not answer, this one included.
     pub refused_hosts: RefusedHosts,
-    /// The other hosts.
+    /// Membership table of the hosts.
     pub members: MemberTable,
     /// Unreadable objects in the store that were logged.
     pub unreadable_objects: UnreadableObjects,
@@ -85,8 +85,8 @@
     /// Another living host of the same failure domain; `salt` varies the choice.
     pub fn same_domain_member(&self, salt: u64) -> Option<MemberUpdate> {
         let own = self.members.own();
-        let near = self.members.owners(own.domain).map(|(_, member)| member);
-        let others = near.filter(|member| member.incarnation != own.incarnation);
+        let members = self.members.owners(own.domain).map(|(_, member)| member);
+        let others = members.filter(|member| member.incarnation != own.incarnation);
         others.min_by_key(|member| mix_hash(salt, member.incarnation.0))
     }
 
--- a/src/gateway/view_spread.rs
+++ b/src/gateway/view_spread.rs
@@ -46,7 +46,7 @@
         self.execute_actions(actions);
     }
 
-    /// Fetches a newer view from another host, unless a fetch is already in progress.
+    /// Fetches a newer view from another host, unless a fetch is already making progress.
     pub(super) fn fetch_view(self: &Arc<Self>, address: SocketAddr) {
         if !lock(&self.view_fetches).begin(self.now(), address) {
             return;
@@ -103,8 +103,8 @@
                 age: state.config_age.next_request(now),
             }
         };
-        let informed = self.state().fleet.revision() > 0;
-        let timeouts = if informed { FETCH_TIMEOUTS } else { FIRST_TIMEOUTS };
+        let has_view = self.state().fleet.revision() > 0;
+        let timeouts = if has_view { FETCH_TIMEOUTS } else { FIRST_TIMEOUTS };
         let on_progress = || lock(&self.view_fetches).record_progress(self.now(), address);
         match self.peers.fetch(address, &request, timeouts, on_progress).await {
             Ok(GatewayReply::View { routes: update, fleet, age }) => {
