--- a/src/bench/engine_server.rs
+++ b/src/bench/engine_server.rs
@@ -2,7 +2,7 @@
 use super::engine_core::EngineCore;
 use super::prefill_engine::prefill;
 use crate::engines::{
-    CALL_ID, CancelCall, CancelDone, DecodeCall, PrefillCall, ResumeCall, StreamEvent,
+    CALL_ID, CancelCall, CancelReply, DecodeCall, PrefillCall, ResumeCall, StreamEvent,
 };
 use crate::intents::ServerRole;
 use crate::orders::ServerOrder;
@@ -78,13 +78,13 @@
         "/v1/resume" => with(&body, async |call| resume(engine, call)).await,
         "/v1/cancel" => {
             with(&body, async |call: CancelCall| {
-                json(&CancelDone { held: engine.let_go(&call.attempt) })
+                json(&CancelReply { held: engine.let_go(&call.attempt) })
             })
             .await
         }
         "/v1/orders" => {
             with(&body, async |order: ServerOrder| match engine.obey(order).await {
-                Ok(()) => json(&CancelDone { held: false }),
+                Ok(()) => json(&CancelReply { held: false }),
                 Err(text) => refuse(StatusCode::CONFLICT, &text),
             })
             .await
--- a/src/bench/prefill_engine.rs
+++ b/src/bench/prefill_engine.rs
@@ -2,7 +2,7 @@
 use super::engine_core::EngineCore;
 use super::held_attempt::HeldAttempt;
 use super::kv_store::KvResult;
-use crate::engines::{PrefillCall, PrefillDone};
+use crate::engines::{PrefillCall, PrefillReply};
 use crate::keys::stable_hash;
 use crate::placement::prefix_blocks;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 pub(super) async fn prefill(
     engine: Arc<EngineCore>,
     call: PrefillCall,
-) -> Result<PrefillDone, String> {
+) -> Result<PrefillReply, String> {
     let held = engine.hold(&call.attempt);
     let words: Vec<&str> = call.prompt.split_whitespace().collect();
     let tokens = words.len() as u32 + call.generated.len() as u32;
@@ -40,7 +40,7 @@
     held: &HeldAttempt,
     words: &[&str],
     tokens: u32,
-) -> Result<PrefillDone, String> {
+) -> Result<PrefillReply, String> {
     let _turn = engine.lane.lock().await;
     if held.cancelled.load(Ordering::Relaxed) {
         return Err("cancelled before it began".to_owned());
@@ -73,7 +73,7 @@
         KvResult { prompt, bytes, ready_at: Instant::now() },
     );
     log::debug!("event=prefilled took_ms={}", began.elapsed().as_millis());
-    Ok(PrefillDone {
+    Ok(PrefillReply {
         handle,
         computed_tokens: computed,
         cached_tokens: tokens - computed,
--- a/src/bench/worlds/stream_world.rs
+++ b/src/bench/worlds/stream_world.rs
@@ -59,9 +59,9 @@
         flying.sort_by_key(|token| (token.due, token.index));
         while flying.first().is_some_and(|token| token.due <= clock) {
             let token = flying.remove(0);
-            match ledger.judge(token.attempt, token.index) {
+            match ledger.admit(token.attempt, token.index) {
                 TokenVerdict::Write => written.push(token.index),
-                TokenVerdict::Crossed if sabotage == Sabotage::AcceptCrossed => {
+                TokenVerdict::Stale if sabotage == Sabotage::AcceptCrossed => {
                     written.push(token.index);
                 }
                 // A gap breaks the attempt: it is resumed from the next index.
@@ -71,7 +71,7 @@
                     }
                     producing = producing.min(ledger.next_index());
                 }
-                TokenVerdict::Gap | TokenVerdict::Repeated | TokenVerdict::Crossed => {}
+                TokenVerdict::Gap | TokenVerdict::Duplicate | TokenVerdict::Stale => {}
             }
         }
         if ledger.next_index() == total || written.len() as u32 >= total {
--- a/src/callers/answer_body.rs
+++ b/src/callers/answer_body.rs
@@ -65,7 +65,7 @@
             // the end of the channel would reach the caller as the end of a whole answer.
             log::warn!("event=answer_cut request={}", self.request);
             self.ended = true;
-            return Poll::Ready(Some(Err(Error::Cut)));
+            return Poll::Ready(Some(Err(Error::Truncated)));
         };
         Poll::Ready(Some(Ok(Frame::data(self.event(part)))))
     }
--- a/src/engines/engine_client.rs
+++ b/src/engines/engine_client.rs
@@ -1,6 +1,6 @@
 use super::{
-    AnswerProof, CALL_ID, CancelCall, CancelDone, DecodeCall, EngineLoad, HttpPool, LineStream,
-    PooledBody, PrefillCall, PrefillDone, ResumeCall, SendLimits,
+    AnswerProof, CALL_ID, CancelCall, CancelReply, DecodeCall, EngineLoad, HttpPool, LineStream,
+    PooledBody, PrefillCall, PrefillReply, ResumeCall, SendLimits,
 };
 use crate::orders::ServerOrder;
 use crate::{Error, Result};
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     /// If the engine refuses, fails or breaks the connection.
-    pub async fn prefill(&self, address: SocketAddr, call: &PrefillCall) -> Result<PrefillDone> {
+    pub async fn prefill(&self, address: SocketAddr, call: &PrefillCall) -> Result<PrefillReply> {
         self.ask(address, "/v1/prefill", call).await
     }
 
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     /// If the engine gave no answer.
-    pub async fn cancel(&self, address: SocketAddr, attempt: String) -> Result<CancelDone> {
+    pub async fn cancel(&self, address: SocketAddr, attempt: String) -> Result<CancelReply> {
         let call = CancelCall { attempt };
         self.limit(self.ask(address, "/v1/cancel", &call)).await
     }
@@ -69,7 +69,7 @@
         self.limit(async {
             let response = self.send(Method::GET, address, &path, Bytes::new()).await?;
             let read = |bytes: &Bytes| Ok((serde_json::from_slice(bytes)?, bytes.len()));
-            let (load, length) = response.into_body().read_as(read).await?;
+            let (load, length) = response.into_body().read_with(read).await?;
             self.report_bytes.fetch_add(length as u64, Ordering::Relaxed);
             Ok(load)
         })
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     /// If the engine refuses it or gave no answer.
-    pub async fn order(&self, address: SocketAddr, order: &ServerOrder) -> Result<CancelDone> {
+    pub async fn order(&self, address: SocketAddr, order: &ServerOrder) -> Result<CancelReply> {
         self.limit(self.ask(address, "/v1/orders", order)).await
     }
 
@@ -105,7 +105,7 @@
         call: &(impl Serialize + Sync),
     ) -> Result<T> {
         let body = self.post(address, path, call).await?.into_body();
-        body.read_as(|bytes| Ok(serde_json::from_slice(bytes)?)).await
+        body.read_with(|bytes| Ok(serde_json::from_slice(bytes)?)).await
     }
 
     async fn post(
--- a/src/engines/engine_wire.rs
+++ b/src/engines/engine_wire.rs
@@ -24,7 +24,7 @@
 
 /// A finished prefill.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct PrefillDone {
+pub struct PrefillReply {
     /// Names the result for its transfer.
     pub handle: u64,
     /// Tokens that had to be computed.
@@ -72,7 +72,7 @@
 
 /// Whether the dropped attempt was held.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct CancelDone {
+pub struct CancelReply {
     /// It was.
     pub held: bool,
 }
--- a/src/engines/http_pool.rs
+++ b/src/engines/http_pool.rs
@@ -25,15 +25,15 @@
 #[derive(Debug, Clone, Copy)]
 pub struct SendLimits {
     /// Longest time that opening a connection may take.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Longest rest of a kept connection that may be used; for requests that must not be repeated,
     /// since a server may close a resting connection while the request is on its way.
-    pub rested: Duration,
+    pub max_idle: Duration,
 }
 
 impl Default for SendLimits {
     fn default() -> Self {
-        Self { connect: CONNECT_TIMEOUT, rested: Duration::MAX }
+        Self { connect_timeout: CONNECT_TIMEOUT, max_idle: Duration::MAX }
     }
 }
 
@@ -77,7 +77,7 @@
                 },
             }
         }
-        let sender = Self::connect_within(address, limits.connect)
+        let sender = Self::connect_within(address, limits.connect_timeout)
             .await
             .map_err(|error| Error::NotSent(error.to_string()))?;
         let mut fresh = PooledConnection::new(sender);
@@ -136,7 +136,7 @@
         match proof {
             AnswerProof::OwnConnection => None,
             AnswerProof::Id(_) | AnswerProof::Contents(_) => {
-                self.idle.take(address, limits.rested, id)
+                self.idle.take(address, limits.max_idle, id)
             }
         }
     }
--- a/src/engines/line_stream.rs
+++ b/src/engines/line_stream.rs
@@ -23,7 +23,7 @@
     /// The next event, or none after the last one of a whole stream. Safe to drop while it waits.
     ///
     /// # Errors
-    /// [`Error::Cut`] if the body ends without the last event; any other error if the connection breaks
+    /// [`Error::Truncated`] if the body ends without the last event; any other error if the connection breaks
     /// or a line is malformed.
     pub async fn next(&mut self) -> Result<Option<StreamEvent>> {
         loop {
@@ -48,7 +48,7 @@
     /// An engine that gives up a stream may end the body in good order: only the last event makes it whole.
     fn end(&mut self) -> Result<Option<StreamEvent>> {
         if !self.ended || !self.buffer.is_empty() {
-            return Err(Error::Cut);
+            return Err(Error::Truncated);
         }
         self.body.keep_connection();
         Ok(None)
--- a/src/engines/mod.rs
+++ b/src/engines/mod.rs
@@ -15,9 +15,9 @@
 pub use answer_proof::{AnswerOwner, AnswerProof};
 pub use engine_client::EngineClient;
 pub use engine_wire::{
-    CALL_ID, CacheEvent, CacheEvents, CancelCall, CancelDone, DecodeCall, EngineLoad, PrefillCall,
-    PrefillDone, ResumeCall, StreamEvent,
+    CALL_ID, CacheEvent, CacheEvents, CancelCall, CancelReply, DecodeCall, EngineLoad, PrefillCall,
+    PrefillReply, ResumeCall, StreamEvent,
 };
 pub use http_pool::{HttpPool, SendLimits};
 pub use line_stream::LineStream;
-pub use pooled_body::{PooledBody, states_end};
+pub use pooled_body::{PooledBody, has_explicit_end};
--- a/src/engines/pooled_body.rs
+++ b/src/engines/pooled_body.rs
@@ -24,19 +24,19 @@
 pub struct PooledBody {
     incoming: Incoming,
     back: Option<ReturnPath>,
-    states_end: bool,
+    has_explicit_end: bool,
     ended: bool,
 }
 
 impl PooledBody {
     pub(super) fn new(response: Response<Incoming>, back: Option<ReturnPath>) -> Response<Self> {
-        let states_end = states_end(&response);
-        response.map(|incoming| Self { incoming, back, states_end, ended: false })
+        let has_explicit_end = has_explicit_end(&response);
+        response.map(|incoming| Self { incoming, back, has_explicit_end, ended: false })
     }
 
     /// Whether the answer says where it ends, and not only the end of its connection.
-    pub fn states_end(&self) -> bool {
-        self.states_end
+    pub fn has_explicit_end(&self) -> bool {
+        self.has_explicit_end
     }
 
     /// Reads the whole body of an answer that is known to be the one asked for.
@@ -44,14 +44,14 @@
     /// # Errors
     /// If the connection breaks first.
     pub async fn read_all(self) -> Result<Bytes> {
-        self.read_as(|bytes| Ok(bytes.clone())).await
+        self.read_with(|bytes| Ok(bytes.clone())).await
     }
 
     /// Reads the whole body; the connection is kept only if `read` knows it as the answer asked for.
     ///
     /// # Errors
     /// If the connection breaks first, or `read` fails.
-    pub async fn read_as<T>(mut self, read: impl FnOnce(&Bytes) -> Result<T>) -> Result<T> {
+    pub async fn read_with<T>(mut self, read: impl FnOnce(&Bytes) -> Result<T>) -> Result<T> {
         let bytes = (&mut self).collect().await?.to_bytes();
         let value = read(&bytes)?;
         self.keep_connection();
@@ -64,7 +64,7 @@
     /// # Errors
     /// [`Error::TooLong`] and [`Error::Timeout`] if it is longer, or a piece does not come; any other if the
     /// connection breaks first, or `read` fails.
-    pub async fn read_paced<T>(
+    pub async fn read_with_timeouts<T>(
         mut self,
         longest: usize,
         patience: impl Fn(usize) -> Duration,
@@ -97,7 +97,7 @@
 }
 
 /// Whether an answer says where it ends: if it breaks off before, that shows.
-pub fn states_end(response: &Response<Incoming>) -> bool {
+pub fn has_explicit_end(response: &Response<Incoming>) -> bool {
     let is_chunked = response.headers().contains_key(TRANSFER_ENCODING);
     is_chunked || response.body().size_hint().exact().is_some()
 }
--- a/src/error.rs
+++ b/src/error.rs
@@ -17,7 +17,7 @@
     /// The other side broke the protocol or refused it.
     Protocol(String),
     /// A peer did not prove that it knows the shared key.
-    Unproven,
+    Unauthenticated,
     /// The other side did not answer within the allowed time.
     Timeout,
     /// Certainly nothing of the request was sent.
@@ -30,7 +30,7 @@
         received: usize,
     },
     /// An answer ended, and nothing shows that it is whole.
-    Cut,
+    Truncated,
     /// The answer that came may belong to another call, so nothing is known of this one.
     Foreign {
         /// Whose answer it says it is.
@@ -46,9 +46,9 @@
     /// Whether the other side broke off in the middle of a call.
     pub fn is_break_off(&self) -> bool {
         match self {
-            Self::Io(_) | Self::Protocol(_) | Self::Cut => true,
+            Self::Io(_) | Self::Protocol(_) | Self::Truncated => true,
             Self::Settings(_)
-            | Self::Unproven
+            | Self::Unauthenticated
             | Self::Timeout
             | Self::NotSent(_)
             | Self::Refused(_)
@@ -69,14 +69,16 @@
             Self::Io(error) => write!(f, "{error}"),
             Self::Settings(findings) => write!(f, "{findings}"),
             Self::Protocol(text) => write!(f, "protocol: {text}"),
-            Self::Unproven => write!(f, "the peer did not prove that it knows the shared key"),
+            Self::Unauthenticated => {
+                write!(f, "the peer did not prove that it knows the shared key")
+            }
             Self::Timeout => write!(f, "no answer in time"),
             Self::NotSent(text) => write!(f, "not sent: {text}"),
             Self::Refused(text) => write!(f, "refused: {text}"),
             Self::TooLong { received } => {
                 write!(f, "the answer is too long, {received} bytes of it came")
             }
-            Self::Cut => write!(f, "the answer ended before it was known to be whole"),
+            Self::Truncated => write!(f, "the answer ended before it was known to be whole"),
             Self::Foreign { owner, status, calls } => {
                 write!(f, "the answer {status} to call {calls} of a connection is {owner:?}")
             }
--- a/src/gateway/call_end.rs
+++ b/src/gateway/call_end.rs
@@ -1,5 +1,5 @@
 use super::caller_body::{CallerAnswer, CallerBody};
-use crate::platform::{answer_headers, own_headers};
+use crate::platform::{answer_headers, router_headers};
 use bytes::Bytes;
 use http::{HeaderMap, Response, StatusCode};
 use std::time::Duration;
@@ -116,10 +116,10 @@
         let (headers, body) = match self {
             Self::Answered(answer) => (answer_headers(&answer.headers), answer.body),
             Self::NotRun(_, pause) | Self::OverLimit(pause) => {
-                (own_headers(id, Some(pause)), Bytes::new())
+                (router_headers(id, Some(pause)), Bytes::new())
             }
             Self::Improper(..) | Self::Unknown(_) | Self::TimedOut => {
-                (own_headers(id, None), Bytes::new())
+                (router_headers(id, None), Bytes::new())
             }
         };
         let mut answer = Response::new(CallerBody::Whole(Some(body)));
--- a/src/gateway/crash_store.rs
+++ b/src/gateway/crash_store.rs
@@ -6,8 +6,8 @@
 use super::gateway_host::GatewayHost;
 use crate::membership::MemberUpdate;
 use crate::platform::{
-    CRASHES_OBJECT, LONGEST_OBJECT, StoreEvent, StoreObject, StoreWrite, WatchAnswer, WatchPlan,
-    decode_crashes, encode_crashes,
+    CRASHES_OBJECT, MAX_OBJECT_BYTES, StoreEvent, StoreObject, WatchAnswer, WatchLimits,
+    WriteOutcome, decode_crashes, encode_crashes,
 };
 use crate::quarantine::CrashReport;
 use crate::{Error, Result};
@@ -25,12 +25,12 @@
 const ROLE_PERIOD: Duration = Duration::from_millis(500);
 /// Plan of one watch, which ends at the first change. Each watch is one call of the store; at this wait they are a
 /// tenth of the calls for servers and configuration.
-const WATCH_PLAN: WatchPlan = WatchPlan {
+const WATCH_PLAN: WatchLimits = WatchLimits {
     wait: Duration::from_millis(10_000),
     slack: Duration::from_millis(400),
     // Each version is complete: an answer longer than the longest object holds several versions, and reading the
     // object returns only the last one.
-    longest: LONGEST_OBJECT,
+    max_bytes: MAX_OBJECT_BYTES,
 };
 /// Timeout of a store call; a slow store answers within 0.3 s.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
@@ -117,7 +117,7 @@
             WatchAnswer::HistoryLost | WatchAnswer::TooLong => Ok(None),
             WatchAnswer::Changes(changes, revision) => {
                 for change in &changes {
-                    if let StoreEvent::Stated(object) = change {
+                    if let StoreEvent::Changed(object) = change {
                         self.merge_copy(object);
                     }
                 }
@@ -175,7 +175,7 @@
         let CrashReport { crashes, .. } = report;
         let spec = encode_crashes(&crashes, SystemTime::now());
         match self.store.write(kind, name, expected, &spec, CALL_TIMEOUT).await {
-            StoreWrite::Written(object) => {
+            WriteOutcome::Written(object) => {
                 let mut state = self.state();
                 state.crashes_revision = state.crashes_revision.max(Some(object.revision));
                 state.crashes.record_saved(&crashes);
@@ -185,10 +185,10 @@
                 Ok(())
             }
             // Another host wrote first: its crashes are merged, and the next check writes those that it lacked.
-            StoreWrite::Conflict => self.read_crashes().await,
-            StoreWrite::Refused => Err(Error::Refused("the store refused the write".to_owned())),
+            WriteOutcome::Conflict => self.read_crashes().await,
+            WriteOutcome::Refused => Err(Error::Refused("the store refused the write".to_owned())),
             // The write may have succeeded; reading the copy shows whether it did.
-            StoreWrite::Lost => self.read_crashes().await,
+            WriteOutcome::Unknown => self.read_crashes().await,
         }
     }
 }
--- a/src/gateway/decode_reservation.rs
+++ b/src/gateway/decode_reservation.rs
@@ -30,7 +30,7 @@
 
 /// Tokens that an answer is expected to have: its caller's estimate, or half of the allowed maximum.
 pub(super) fn expected_output(tokens: &TokenCounts) -> u32 {
-    tokens.hinted_output.unwrap_or(tokens.most_output / 2).min(tokens.most_output)
+    tokens.output_hint.unwrap_or(tokens.max_output / 2).min(tokens.max_output)
 }
 
 /// Memory that a request is expected to need in the end: its prompt, and the answer as its caller
--- a/src/gateway/event_reader.rs
+++ b/src/gateway/event_reader.rs
@@ -1,5 +1,5 @@
 use crate::engines::PooledBody;
-use crate::streams::{EventSplitter, StreamEvent};
+use crate::streams::{EventSplitter, ServerSentEvent};
 use crate::{Error, Result};
 use http_body_util::BodyExt;
 
@@ -19,7 +19,7 @@
     ///
     /// # Errors
     /// If the connection breaks or ends within an event, or an event is too long.
-    pub async fn next(&mut self) -> Result<Option<StreamEvent>> {
+    pub async fn next(&mut self) -> Result<Option<ServerSentEvent>> {
         loop {
             if let Some(event) = self.splitter.next_event() {
                 return Ok(Some(event));
--- a/src/gateway/event_relay.rs
+++ b/src/gateway/event_relay.rs
@@ -9,7 +9,7 @@
 use crate::keys::TimePoint;
 use crate::placement::{PaceTimer, ServerEvent};
 use crate::routes::EngineSpec;
-use crate::streams::StreamEvent;
+use crate::streams::ServerSentEvent;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc::Sender;
@@ -211,7 +211,7 @@
 async fn next_event(
     context: &CallContext,
     reader: &mut super::event_reader::EventReader,
-) -> Result<Option<StreamEvent>> {
+) -> Result<Option<ServerSentEvent>> {
     if !context.route.is_retryable() {
         return reader.next().await;
     }
@@ -223,7 +223,7 @@
 /// does not belong to the stream: the head of a second answer, after one without a length, parses as such an event.
 async fn relay_event(
     context: &CallContext,
-    event: StreamEvent,
+    event: ServerSentEvent,
     events: &Sender<StreamPart>,
     record: &mut RelayRecord,
 ) -> Option<RunEnd> {
--- a/src/gateway/limit_answers.rs
+++ b/src/gateway/limit_answers.rs
@@ -5,7 +5,7 @@
 use crate::fleet::ServerEntry;
 use crate::keys::TimePoint;
 use crate::limits::OwnerChoice;
-use crate::platform::LimitNaming;
+use crate::platform::LimitHeader;
 use crate::server_limits::LimitObservation;
 
 impl GatewayHost {
@@ -15,12 +15,12 @@
         &self,
         server: &ServerEntry,
         sent_at: TimePoint,
-        naming: &LimitNaming,
+        naming: &LimitHeader,
     ) {
         let limit = match naming {
-            LimitNaming::Absent => None,
-            LimitNaming::Named(limit) => Some(*limit),
-            LimitNaming::Malformed(text) => {
+            LimitHeader::Absent => None,
+            LimitHeader::Valid(limit) => Some(*limit),
+            LimitHeader::Malformed(text) => {
                 let id = &server.id;
                 log::warn!("event=server_limit_unreadable server={id} limit={text:?}");
                 return;
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -8,7 +8,7 @@
 use crate::fleet::ServerEntry;
 use crate::keys::ServerKey;
 use crate::placement::{REMOTE_DOMAIN_PENALTY, RankingCriterion, ServerEvent, ServerLoad};
-use crate::platform::{AnswerKind, CallPart, holds_answer, read_answer};
+use crate::platform::{AnswerKind, CallPart, contains_answer, read_answer};
 use crate::{Error, Result};
 use std::time::Duration;
 
@@ -193,9 +193,9 @@
         body.read_all().await?;
         return Ok(AttemptEnd::NotRun);
     }
-    let states_end = body.states_end();
+    let has_explicit_end = body.has_explicit_end();
     let body = body.read_all().await?;
-    if !states_end && holds_answer(&body) {
+    if !has_explicit_end && contains_answer(&body) {
         return Ok(AttemptEnd::Unknown("answer_with_another"));
     }
     context.record_success();
--- a/src/gateway/prompt_read.rs
+++ b/src/gateway/prompt_read.rs
@@ -180,6 +180,6 @@
         let rejected = kind == AnswerKind::NotRun;
         return Ok(if rejected { ReadEnd::Rejected } else { ReadEnd::Failed });
     }
-    let result = body.read_as(|bytes| decode_body(bytes)).await?;
+    let result = body.read_with(|bytes| decode_body(bytes)).await?;
     Ok(ReadEnd::Read(result))
 }
--- a/src/gateway/run_open.rs
+++ b/src/gateway/run_open.rs
@@ -12,7 +12,7 @@
 use crate::platform::DecodePart;
 use crate::quarantine::CRASH_RETENTION;
 use crate::routes::EngineSpec;
-use crate::streams::StreamEvent;
+use crate::streams::ServerSentEvent;
 use http::{HeaderMap, StatusCode};
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
     /// Reads its further events.
     pub reader: EventReader,
     /// Its first event; `None` if it has none.
-    pub first: Option<StreamEvent>,
+    pub first: Option<ServerSentEvent>,
     /// Its entry in the load table.
     pub load: LoadGuard,
 }
--- a/src/gateway/run_start.rs
+++ b/src/gateway/run_start.rs
@@ -10,7 +10,7 @@
 use crate::keys::ServerKey;
 use crate::placement::ServerEvent;
 use crate::platform::{AnswerKind, CallPart, DecodePart, read_answer};
-use crate::streams::StreamEvent;
+use crate::streams::ServerSentEvent;
 use http::{HeaderMap, StatusCode};
 use std::time::Duration;
 
@@ -50,7 +50,7 @@
 }
 
 /// Head, reader and first event of a run that began.
-pub(super) type RunStart = ((StatusCode, HeaderMap), EventReader, Option<StreamEvent>);
+pub(super) type RunStart = ((StatusCode, HeaderMap), EventReader, Option<ServerSentEvent>);
 
 /// Sends a request to run and waits for its first event.
 pub(super) async fn run_at(
--- a/src/gateway/server_call.rs
+++ b/src/gateway/server_call.rs
@@ -66,7 +66,7 @@
     permit: &mut SendPermit,
 ) -> Result<Response<PooledBody>> {
     let request = context.call.to_server(server, left, part);
-    let limits = SendLimits { connect: CONNECT_TIMEOUT, rested: max_idle };
+    let limits = SendLimits { connect_timeout: CONNECT_TIMEOUT, max_idle };
     let (host, sent_at) = (&context.host, context.host.now());
     context.record_sent(sent_at);
     // A request that is abandoned while it is sent may have arrived all the same.
@@ -95,10 +95,10 @@
     read: impl FnOnce(StatusCode, &Bytes) -> Result<T>,
 ) -> Result<T> {
     let exchange = async {
-        let limits = SendLimits { connect: limit, ..SendLimits::default() };
+        let limits = SendLimits { connect_timeout: limit, ..SendLimits::default() };
         let response = send_call(host, server, purpose, call, limits).await?;
         let status = response.status();
-        response.into_body().read_as(|body| read(status, body)).await
+        response.into_body().read_with(|body| read(status, body)).await
     };
     tokio::time::timeout(limit, exchange).await.map_err(|_elapsed| Error::Timeout)?
 }
--- a/src/gateway/stage_orders.rs
+++ b/src/gateway/stage_orders.rs
@@ -7,7 +7,7 @@
 use crate::fleet::ServerEntry;
 use crate::orders::{EngineState, OrderLease, OrderStep, order_step};
 use crate::platform::{
-    LEASE_OBJECT, StageOrder, StoreWrite, decode_lease, decode_report, encode_lease, report_call,
+    LEASE_OBJECT, StageOrder, WriteOutcome, decode_lease, decode_report, encode_lease, report_call,
     stage_call,
 };
 use crate::{Error, Result};
@@ -172,7 +172,7 @@
             }
             let report = decode_report(body)?;
             Ok(EngineState {
-                started_at: report.born,
+                started_at: report.started_at,
                 stage: report.stage,
                 busy: report.busy,
                 orders_taken: report.orders_taken,
@@ -192,15 +192,17 @@
         let spec = encode_lease(&record);
         let written = self.store.write(kind, name, expected, &spec, STORE_TIMEOUT).await;
         match written {
-            StoreWrite::Written(_) => {
+            WriteOutcome::Written(_) => {
                 let now = self.now();
                 let length = self.state().bounds.lease;
                 lease.record_write(sent_at, now, held.as_ref(), &record, length);
                 Ok(())
             }
-            StoreWrite::Conflict => Err(Error::Refused("another host holds the lease".to_owned())),
-            StoreWrite::Refused => Err(Error::Refused("the store refused the lease".to_owned())),
-            StoreWrite::Lost => Err(Error::Timeout),
+            WriteOutcome::Conflict => {
+                Err(Error::Refused("another host holds the lease".to_owned()))
+            }
+            WriteOutcome::Refused => Err(Error::Refused("the store refused the lease".to_owned())),
+            WriteOutcome::Unknown => Err(Error::Timeout),
         }
     }
 }
--- a/src/gateway/view_servers.rs
+++ b/src/gateway/view_servers.rs
@@ -12,7 +12,7 @@
 pub(super) fn replace_servers(host: &GatewayHost, listed: &ObjectList) {
     let (entries, unreadable) = decode_servers(listed);
     let (count, bad, revision) = (entries.len(), unreadable.len(), listed.revision);
-    let whole = listed.is_whole;
+    let whole = listed.is_complete;
     log::info!(
         "event=servers_listed count={count} unreadable={bad} whole={whole} revision={revision}"
     );
@@ -57,8 +57,8 @@
 
 fn log_change(change: &FleetChange, event: &StoreEvent, revision: u64) {
     let id = match event {
-        StoreEvent::Stated(object) => &object.name,
-        StoreEvent::Gone(name) => name,
+        StoreEvent::Changed(object) => &object.name,
+        StoreEvent::Removed(name) => name,
         StoreEvent::Unreadable(_) => return,
     };
     match change {
--- a/src/gateway/view_store.rs
+++ b/src/gateway/view_store.rs
@@ -6,8 +6,8 @@
 use super::view_servers::{apply_changes, logged, logged_name, replace_servers};
 use crate::Result;
 use crate::platform::{
-    LONGEST_OBJECT, ListAge, ROUTES_OBJECT, SERVERS_KIND, StoreEvent, StoreObject,
-    UnreadableObject, WatchAnswer, WatchPlan, decode_config,
+    ListAge, MAX_OBJECT_BYTES, ROUTES_OBJECT, SERVERS_KIND, StoreEvent, StoreObject,
+    UnreadableObject, WatchAnswer, WatchLimits, decode_config,
 };
 use crate::routes::RouteTable;
 use std::sync::Arc;
@@ -65,7 +65,7 @@
             for object in &listed.unreadable {
                 log_unreadable(host, object);
             }
-            if listed.is_whole && !listed.unreadable.iter().any(may_be_config) {
+            if listed.is_complete && !listed.unreadable.iter().any(may_be_config) {
                 host.record_config_complete(asked_at);
             }
         }
@@ -82,7 +82,7 @@
 async fn list_stale(host: &Arc<GatewayHost>) -> Result<Option<u64>> {
     let kind = SERVERS_KIND;
     let listed = host.store.list(kind, ListAge::Stale, LIST_TIMEOUT).await?;
-    let plan = WatchPlan { wait: NO_WAIT, slack: LIST_TIMEOUT, longest: usize::MAX };
+    let plan = WatchLimits { wait: NO_WAIT, slack: LIST_TIMEOUT, max_bytes: usize::MAX };
     let since = host.store.watch(kind, listed.revision, plan).await?;
     let WatchAnswer::Changes(changes, revision) = since else {
         return Ok(None);
@@ -169,10 +169,10 @@
 ) -> Result<FollowStep> {
     let longest = match kind {
         // Each version is complete: an answer longer than the longest object holds several, and only the last one counts.
-        FollowedKind::Routes => LONGEST_OBJECT,
+        FollowedKind::Routes => MAX_OBJECT_BYTES,
         FollowedKind::Servers => usize::MAX,
     };
-    let plan = WatchPlan { wait, slack: WATCH_SLACK, longest };
+    let plan = WatchLimits { wait, slack: WATCH_SLACK, max_bytes: longest };
     let asked_at = host.now();
     let answer = host.store.watch(kind.name(), after, plan).await?;
     record_store_answer(host, kind);
@@ -191,12 +191,12 @@
             // The last version is applied first, so that earlier ones need not be decoded.
             for event in changes.iter().rev() {
                 match event {
-                    StoreEvent::Stated(object) => adopt_object(host, object),
+                    StoreEvent::Changed(object) => adopt_object(host, object),
                     StoreEvent::Unreadable(object) => {
                         is_complete &= !may_be_config(object);
                         log_unreadable(host, object);
                     }
-                    StoreEvent::Gone(_) => {}
+                    StoreEvent::Removed(_) => {}
                 }
             }
             if is_complete {
--- a/src/host/claim_desk.rs
+++ b/src/host/claim_desk.rs
@@ -3,7 +3,7 @@
 use crate::keys::{AttemptId, stable_hash};
 use crate::peers::{PeerReply, PeerRequest, decode, encode};
 use crate::placement::rendezvous_owner;
-use crate::platform::{CLAIMS_KIND, StoreObject, StoreWrite, bucket_name};
+use crate::platform::{CLAIMS_KIND, StoreObject, WriteOutcome, bucket_name};
 use crate::{Error, Result};
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -119,16 +119,16 @@
                 let mut buckets = lock(&self.claims.buckets);
                 let entry = buckets.entry(bucket).or_default();
                 match outcome {
-                    StoreWrite::Written(object) => {
+                    WriteOutcome::Written(object) => {
                         *lost = 0;
                         entry.on_written(object.revision, value)
                     }
-                    StoreWrite::Conflict => {
+                    WriteOutcome::Conflict => {
                         entry.on_conflict();
                         Vec::new()
                     }
-                    StoreWrite::Refused => after_loss(entry, lost, true),
-                    StoreWrite::Lost => after_loss(entry, lost, false),
+                    WriteOutcome::Refused => after_loss(entry, lost, true),
+                    WriteOutcome::Unknown => after_loss(entry, lost, false),
                 }
             }
         };
@@ -143,12 +143,12 @@
 
 impl HostState {
     /// Writes a bucket whose version is still `expected`; zero if it must not exist yet.
-    async fn write_bucket(&self, name: &str, expected: u64, value: &BucketValue) -> StoreWrite {
+    async fn write_bucket(&self, name: &str, expected: u64, value: &BucketValue) -> WriteOutcome {
         let spec = match to_spec(value) {
             Ok(spec) => spec,
             Err(error) => {
                 log::error!("event=claims_unwritable bucket={name} cause=\"{error}\"");
-                return StoreWrite::Refused;
+                return WriteOutcome::Refused;
             }
         };
         let expected = (expected > 0).then_some(expected);
--- a/src/host/config_store.rs
+++ b/src/host/config_store.rs
@@ -3,8 +3,8 @@
 use super::host_state::{HostState, lock};
 use crate::intents::ClusterConfig;
 use crate::platform::{
-    INTENT_OBJECT, LONGEST_OBJECT, ListAge, StoreEvent, StoreObject, StoreWrite, UnreadableObject,
-    WatchAnswer, WatchPlan,
+    INTENT_OBJECT, ListAge, MAX_OBJECT_BYTES, StoreEvent, StoreObject, UnreadableObject,
+    WatchAnswer, WatchLimits, WriteOutcome,
 };
 use crate::{Error, Result};
 use std::sync::Arc;
@@ -49,7 +49,7 @@
     /// If the store gave no proper answer.
     pub(super) async fn watch_config(self: &Arc<Self>, after: u64, wait: Duration) -> Result<u64> {
         let (kind, name) = INTENT_OBJECT;
-        let plan = WatchPlan { wait, slack: WATCH_SLACK, longest: LONGEST_OBJECT };
+        let plan = WatchLimits { wait, slack: WATCH_SLACK, max_bytes: MAX_OBJECT_BYTES };
         self.metrics().add("store_calls", 1);
         let answer = self.store.watch(kind, after, plan).await?;
         let WatchAnswer::Changes(changes, revision) = answer else {
@@ -58,14 +58,14 @@
         lock(&self.desk).record_store_contact(self.now());
         for event in changes.iter().rev() {
             match event {
-                StoreEvent::Stated(object) if object.name == name => {
+                StoreEvent::Changed(object) if object.name == name => {
                     self.adopt_config(parse_config(object)?);
                     break;
                 }
                 StoreEvent::Unreadable(object) if is_named(object, name) => {
                     return Err(Error::Protocol(object.cause.clone()));
                 }
-                StoreEvent::Stated(_) | StoreEvent::Gone(_) | StoreEvent::Unreadable(_) => {}
+                StoreEvent::Changed(_) | StoreEvent::Removed(_) | StoreEvent::Unreadable(_) => {}
             }
         }
         Ok(revision)
@@ -76,14 +76,14 @@
         &self,
         current: &ClusterConfig,
         next: &ClusterConfig,
-    ) -> StoreWrite {
+    ) -> WriteOutcome {
         let (kind, name) = INTENT_OBJECT;
         self.metrics().add("store_calls", 1);
         let spec = match serde_json::to_value(next) {
             Ok(spec) => spec,
             Err(error) => {
                 log::error!("event=config_unwritable cause=\"{error}\"");
-                return StoreWrite::Refused;
+                return WriteOutcome::Refused;
             }
         };
         let expected = (current.version > 0).then_some(current.version);
--- a/src/host/decode_leg.rs
+++ b/src/host/decode_leg.rs
@@ -76,9 +76,9 @@
                     .max(Duration::from_millis(ask.class.between_tokens_ms) * STALL_STEPS);
             }
             Ok(Ok(Some(StreamEvent::Token { index, text }))) => {
-                match answer.ledger.judge(attempt, index) {
+                match answer.ledger.admit(attempt, index) {
                     TokenVerdict::Write => answer.write_token(host, ask, text),
-                    TokenVerdict::Repeated | TokenVerdict::Crossed => {}
+                    TokenVerdict::Duplicate | TokenVerdict::Stale => {}
                     TokenVerdict::Gap => {
                         return fail(host, guard, answer, result, WasteCause::DecodeFailed);
                     }
--- a/src/host/plan_desk.rs
+++ b/src/host/plan_desk.rs
@@ -3,7 +3,7 @@
 use super::host_state::HostState;
 use crate::Error;
 use crate::intents::{ClusterConfig, IntentSpec, PlanDraft, PlanRefusal, apply_plan, draft_plan};
-use crate::platform::StoreWrite;
+use crate::platform::WriteOutcome;
 use crate::settings::SourceText;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -80,15 +80,15 @@
                 Err(refusal) => return from_refusal(refusal),
             };
             match self.runtime.block_on(self.write_config(&current, &next)) {
-                StoreWrite::Written(object) => {
+                WriteOutcome::Written(object) => {
                     let version = object.revision;
                     self.adopt_config(ClusterConfig { version, ..next });
                     log::info!("event=confirmed version={version} operator={:?}", intent.operator);
                     return OperatorAnswer::Confirmed(version);
                 }
-                StoreWrite::Conflict => {}
-                StoreWrite::Refused => last = "the store refused the write".to_owned(),
-                StoreWrite::Lost => last = "the store's answer was lost".to_owned(),
+                WriteOutcome::Conflict => {}
+                WriteOutcome::Refused => last = "the store refused the write".to_owned(),
+                WriteOutcome::Unknown => last = "the store's answer was lost".to_owned(),
             }
         }
         OperatorAnswer::Unsettled(last)
--- a/src/host/prefill_leg.rs
+++ b/src/host/prefill_leg.rs
@@ -4,7 +4,7 @@
 use super::attempt_guard::{AttemptGuard, UsedServer};
 use super::completion_run::{AnswerState, AttemptEnd};
 use super::host_state::HostState;
-use crate::engines::{PrefillCall, PrefillDone};
+use crate::engines::{PrefillCall, PrefillReply};
 use crate::keys::AttemptId;
 use crate::peers::StopReport;
 use crate::placement::WasteCause;
@@ -20,7 +20,7 @@
     attempt: AttemptId,
     server: UsedServer,
     limit: Duration,
-) -> Result<PrefillDone, AttemptEnd> {
+) -> Result<PrefillReply, AttemptEnd> {
     let began = host.now();
     let call = PrefillCall {
         attempt: attempt.to_string(),
--- a/src/host/service_call.rs
+++ b/src/host/service_call.rs
@@ -1,7 +1,7 @@
 //! One exchange with a server of a plain service.
 
 use crate::claims::StoredAnswer;
-use crate::engines::states_end;
+use crate::engines::has_explicit_end;
 use crate::{Error, Result};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -15,18 +15,18 @@
 /// kept connection could give one caller's answer to another.
 ///
 /// # Errors
-/// [`Error::Cut`] if the answer may not be whole; any error if the call may have run.
+/// [`Error::Truncated`] if the answer may not be whole; any error if the call may have run.
 pub(super) async fn call_service(
     mut sender: SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
 ) -> Result<StoredAnswer> {
     let response = sender.send_request(request).await?;
     let status = response.status().as_u16();
-    let states_end = states_end(&response);
+    let has_explicit_end = has_explicit_end(&response);
     let body = response.into_body().collect().await?.to_bytes().to_vec();
     // Where only the end of the connection ends an answer, one that broke off looks the same.
-    if !states_end && serde_json::from_slice::<IgnoredAny>(&body).is_err() {
-        return Err(Error::Cut);
+    if !has_explicit_end && serde_json::from_slice::<IgnoredAny>(&body).is_err() {
+        return Err(Error::Truncated);
     }
     Ok(StoredAnswer { status, body })
 }
--- a/src/peers/datagram.rs
+++ b/src/peers/datagram.rs
@@ -22,12 +22,12 @@
 /// Checks the signature of a datagram before decoding it.
 ///
 /// # Errors
-/// [`Error::Unproven`] if the signature is wrong.
+/// [`Error::Unauthenticated`] if the signature is wrong.
 pub fn open_datagram<T: DeserializeOwned>(key: &str, bytes: &[u8]) -> Result<T> {
-    let split = bytes.len().checked_sub(TAG_BYTES).ok_or(Error::Unproven)?;
+    let split = bytes.len().checked_sub(TAG_BYTES).ok_or(Error::Unauthenticated)?;
     let (body, tag) = bytes.split_at(split);
     let mut hash = keyed_hash(key);
     hash.update(body);
-    hash.verify_truncated_left(tag).map_err(|_error| Error::Unproven)?;
+    hash.verify_truncated_left(tag).map_err(|_error| Error::Unauthenticated)?;
     decode(body)
 }
--- a/src/peers/proof.rs
+++ b/src/peers/proof.rs
@@ -20,7 +20,7 @@
 /// Authenticates this side to a server, after checking the server's proof.
 ///
 /// # Errors
-/// [`Error::Unproven`] if the server does not know the key.
+/// [`Error::Unauthenticated`] if the server does not know the key.
 pub async fn prove_as_client(stream: &mut TcpStream, key: &str) -> Result<()> {
     let exchange = async {
         let client: [u8; NONCE_BYTES] = rand::random();
@@ -30,7 +30,7 @@
         stream.read_exact(&mut server).await?;
         stream.read_exact(&mut theirs).await?;
         let expected = proof(key, b"server", &client, &server);
-        expected.verify_slice(&theirs).map_err(|_error| Error::Unproven)?;
+        expected.verify_slice(&theirs).map_err(|_error| Error::Unauthenticated)?;
         let ours = proof(key, b"client", &client, &server).finalize().into_bytes();
         stream.write_all(&ours).await?;
         Ok(())
@@ -41,7 +41,7 @@
 /// Authenticates this side to a client, then checks the client's proof.
 ///
 /// # Errors
-/// [`Error::Unproven`] if the client does not know the key.
+/// [`Error::Unauthenticated`] if the client does not know the key.
 pub async fn prove_as_server(stream: &mut TcpStream, key: &str) -> Result<()> {
     let exchange = async {
         let mut client = [0; NONCE_BYTES];
@@ -54,7 +54,7 @@
         let mut theirs = [0; PROOF_BYTES];
         stream.read_exact(&mut theirs).await?;
         let expected = proof(key, b"client", &client, &server);
-        expected.verify_slice(&theirs).map_err(|_error| Error::Unproven)
+        expected.verify_slice(&theirs).map_err(|_error| Error::Unauthenticated)
     };
     tokio::time::timeout(PROOF_TIMEOUT, exchange).await.map_err(|_elapsed| Error::Timeout)?
 }
--- a/src/platform/answer_pace.rs
+++ b/src/platform/answer_pace.rs
@@ -21,12 +21,12 @@
     }
 
     /// How long the answer's beginning is waited for.
-    pub fn first(&self) -> Duration {
+    pub fn first_byte_timeout(&self) -> Duration {
         self.limit
     }
 
     /// How long the next piece is waited for when `received` bytes have come by `now`; zero if the call is given up.
-    pub fn next(&self, now: TimePoint, received: usize) -> Duration {
+    pub fn next_chunk_timeout(&self, now: TimePoint, received: usize) -> Duration {
         let longest = self.began + self.limit + carry_time(received) + PIECE_PAUSE;
         let in_time = (self.began + self.limit).since(now);
         PIECE_PAUSE.max(in_time).min(longest.since(now))
--- a/src/platform/engine_messages.rs
+++ b/src/platform/engine_messages.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineReport {
     /// Unix millisecond at which this life of it began; engines of older platforms do not say.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
     /// Its stage.
     pub stage: Option<ServerStage>,
     /// It carries out an order.
@@ -115,7 +115,7 @@
 pub fn decode_report(body: &[u8]) -> Result<EngineReport> {
     let wire: WireReport = serde_json::from_slice(body)?;
     Ok(EngineReport {
-        born: wire.born,
+        started_at: wire.born,
         stage: decode_stage(&wire.stage),
         busy: wire.busy,
         orders_taken: wire.seq,
--- a/src/platform/list_walk.rs
+++ b/src/platform/list_pager.rs
@@ -6,7 +6,7 @@
 
 /// A listing under way.
 #[derive(Debug)]
-pub(super) struct ListWalk {
+pub(super) struct ListPager {
     list: ObjectList,
     /// The next page begins behind this name.
     after: String,
@@ -15,13 +15,13 @@
     is_first: bool,
 }
 
-impl ListWalk {
+impl ListPager {
     /// A listing of which nothing was read yet.
     pub fn new() -> Self {
         let list = ObjectList {
             items: Vec::new(),
             unreadable: Vec::new(),
-            is_whole: false,
+            is_complete: false,
             revision: u64::MAX,
         };
         Self { list, after: String::new(), passed: HashSet::new(), is_first: true }
@@ -53,7 +53,7 @@
         self.list.revision = self.list.revision.min(page.revision);
         self.list.items.extend(page.items);
         self.list.unreadable.extend(page.unreadable);
-        self.list.is_whole = !page.more;
+        self.list.is_complete = !page.more;
         match page.last_name {
             Some(name) if page.more && self.passed.insert(name.clone()) => {
                 self.after = name;
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -9,7 +9,7 @@
 mod json_parts;
 mod lease_wire;
 mod limit_wire;
-mod list_walk;
+mod list_pager;
 mod names;
 mod request_wire;
 mod server_wire;
@@ -27,16 +27,16 @@
     handle_drop_call, hold_call, hold_drop_call, report_call, stage_call,
 };
 pub use lease_wire::{LEASE_OBJECT, decode_lease, encode_lease};
-pub use limit_wire::{LimitNaming, read_limit};
+pub use limit_wire::{LimitHeader, read_limit};
 pub use names::{READY_PATH, REQUEST_ID};
 pub use request_wire::{
     AnswerKind, CallHead, CallPart, DecodePart, ServerCall, TokenCounts, answer_headers,
-    holds_answer, own_headers, read_answer,
+    contains_answer, read_answer, router_headers,
 };
 pub use server_wire::{SERVERS_KIND, decode_change, decode_server, decode_servers};
-pub use store_call::{ListAge, StoreWrite, WatchAnswer, WatchPlan};
+pub use store_call::{ListAge, WatchAnswer, WatchLimits, WriteOutcome};
 pub use store_client::StoreClient;
-pub use store_object::{LONGEST_OBJECT, ObjectList, StoreEvent, StoreObject, UnreadableObject};
+pub use store_object::{MAX_OBJECT_BYTES, ObjectList, StoreEvent, StoreObject, UnreadableObject};
 
 /// Kind and name of the configuration that intents of the project's own interface make.
 pub const INTENT_OBJECT: (&str, &str) = ("tealcleat-config", "main");
--- a/src/platform/request_wire.rs
+++ b/src/platform/request_wire.rs
@@ -17,15 +17,15 @@
     /// Tokens of the prompt.
     pub prompt: u32,
     /// Most tokens of the answer.
-    pub most_output: u32,
+    pub max_output: u32,
     /// The caller's estimate of the answer's tokens; right in the median only.
-    pub hinted_output: Option<u32>,
+    pub output_hint: Option<u32>,
 }
 
 impl TokenCounts {
     /// The most tokens that the request may take, if it states its size.
     pub fn stated_size(&self) -> Option<u32> {
-        let size = self.prompt.saturating_add(self.most_output);
+        let size = self.prompt.saturating_add(self.max_output);
         (size > 0).then_some(size)
     }
 }
@@ -113,8 +113,8 @@
     let (prompt, output) = counts.and_then(|text| text.split_once(',')).unwrap_or_default();
     TokenCounts {
         prompt: prompt.trim().parse().unwrap_or_default(),
-        most_output: output.trim().parse().unwrap_or_default(),
-        hinted_output: hint.filter(|value| *value >= 0.0).map(|value| value as u32),
+        max_output: output.trim().parse().unwrap_or_default(),
+        output_hint: hint.filter(|value| *value >= 0.0).map(|value| value as u32),
     }
 }
 
@@ -236,7 +236,7 @@
 ///
 /// An answer without a length ends with its connection, and whatever else comes there counts to it: the late
 /// second answer to an earlier request went to the caller of a later one in this way.
-pub fn holds_answer(body: &[u8]) -> bool {
+pub fn contains_answer(body: &[u8]) -> bool {
     let text = String::from_utf8_lossy(body).to_ascii_lowercase();
     text.match_indices(STATUS_LINE).any(|(place, _)| {
         let rest = &text[place..];
@@ -258,7 +258,7 @@
 }
 
 /// Headers of an answer that the router makes itself.
-pub fn own_headers(request_id: &str, come_back: Option<Duration>) -> HeaderMap {
+pub fn router_headers(request_id: &str, come_back: Option<Duration>) -> HeaderMap {
     let mut headers = HeaderMap::new();
     if !request_id.is_empty() {
         set(&mut headers, names::REQUEST_ID, request_id);
--- a/src/platform/server_wire.rs
+++ b/src/platform/server_wire.rs
@@ -72,9 +72,9 @@
 /// If the entry names no server to use; what can be read of it is in the error.
 pub fn decode_change(event: &StoreEvent) -> std::result::Result<FleetChange, UnreadableObject> {
     let object = match event {
-        StoreEvent::Gone(name) => return Ok(FleetChange::Removed(IdKey::of(name))),
+        StoreEvent::Removed(name) => return Ok(FleetChange::Removed(IdKey::of(name))),
         StoreEvent::Unreadable(object) => return Err(object.clone()),
-        StoreEvent::Stated(object) => object,
+        StoreEvent::Changed(object) => object,
     };
     if object.deleting {
         return Ok(FleetChange::Removed(IdKey::of(&object.name)));
--- a/src/platform/store_call.rs
+++ b/src/platform/store_call.rs
@@ -25,13 +25,13 @@
 
 /// How changes are waited for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct WatchPlan {
+pub struct WatchLimits {
     /// How long the store waits for one.
     pub wait: Duration,
     /// How much later its answer may begin.
     pub slack: Duration,
     /// Most bytes of changes that are taken.
-    pub longest: usize,
+    pub max_bytes: usize,
 }
 
 /// Bounds on one call.
@@ -51,7 +51,7 @@
 
 /// What is known of a conditional write.
 #[derive(Debug, Clone, PartialEq)]
-pub enum StoreWrite {
+pub enum WriteOutcome {
     /// It took effect.
     Written(StoreObject),
     /// The expected revision did not stand; nothing was written.
@@ -59,5 +59,5 @@
     /// The store refused it for certain; nothing was written.
     Refused,
     /// No answer: it may have taken effect, or may yet.
-    Lost,
+    Unknown,
 }
--- a/src/platform/store_client.rs
+++ b/src/platform/store_client.rs
@@ -2,9 +2,9 @@
 
 use super::answer_pace::AnswerPace;
 use super::call_counts::{CallCounts, CallKind};
-use super::list_walk::ListWalk;
+use super::list_pager::ListPager;
 use super::names;
-use super::store_call::{CallLimit, ListAge, StoreWrite, WatchAnswer, WatchPlan};
+use super::store_call::{CallLimit, ListAge, WatchAnswer, WatchLimits, WriteOutcome};
 use super::store_object::{ObjectList, StoreObject, UnreadableObject};
 use super::store_wire::{ListPage, decode_events, decode_object, decode_page};
 use crate::engines::{AnswerProof, HttpPool, SendLimits};
@@ -52,7 +52,7 @@
     /// # Errors
     /// If the store gave no proper answer in time.
     pub async fn list(&self, kind: &str, age: ListAge, limit: Duration) -> Result<ObjectList> {
-        let mut walk = ListWalk::new();
+        let mut walk = ListPager::new();
         // Pages share connections within one listing only: the copy of an older listing's page would pass.
         let pages = HttpPool::default();
         let stale = match age {
@@ -81,7 +81,7 @@
         &self,
         pages: &HttpPool,
         target: &str,
-        walk: &ListWalk,
+        walk: &ListPager,
         limit: Duration,
     ) -> Result<ListPage> {
         let mut pause = PAGE_PAUSE;
@@ -132,10 +132,10 @@
     ///
     /// # Errors
     /// If the store gave no proper answer in time.
-    pub async fn watch(&self, kind: &str, revision: u64, plan: WatchPlan) -> Result<WatchAnswer> {
-        let WatchPlan { wait, slack, longest } = plan;
+    pub async fn watch(&self, kind: &str, revision: u64, plan: WatchLimits) -> Result<WatchAnswer> {
+        let WatchLimits { wait, slack, max_bytes } = plan;
         let target = format!("{kind}?watch={revision}&wait_ms={}", wait.as_millis());
-        let limit = CallLimit { time: wait + slack, bytes: longest };
+        let limit = CallLimit { time: wait + slack, bytes: max_bytes };
         self.calls.note(CallKind::Watch);
         let (status, body) = match self.get(&target, limit).await {
             Err(Error::TooLong { .. }) => return Ok(WatchAnswer::TooLong),
@@ -157,7 +157,7 @@
         expected: Option<u64>,
         spec: &Value,
         limit: Duration,
-    ) -> StoreWrite {
+    ) -> WriteOutcome {
         let metadata = match expected {
             Some(revision) => json!({"name": name, "revision": revision, "finalizers": []}),
             None => json!({"name": name, "finalizers": []}),
@@ -170,8 +170,8 @@
         self.calls.note(CallKind::Write);
         match self.call_once(method, &target, Bytes::from(body), limit).await {
             Ok((status, body)) => read_write(status, &body),
-            Err(Error::NotSent(_)) => StoreWrite::Refused,
-            Err(_) => StoreWrite::Lost,
+            Err(Error::NotSent(_)) => WriteOutcome::Refused,
+            Err(_) => WriteOutcome::Unknown,
         }
     }
 
@@ -224,14 +224,17 @@
         let received = AtomicUsize::new(0);
         let exchange = async {
             let call = pool.send(self.address, request, proof, SendLimits::default());
-            let answered = tokio::time::timeout(pace.first(), call).await;
+            let answered = tokio::time::timeout(pace.first_byte_timeout(), call).await;
             let response = answered.map_err(|_elapsed| Error::Timeout)??;
             let status = response.status();
             let patience = |count| {
                 received.store(count, Ordering::Relaxed);
-                pace.next(self.clock.now(), count)
+                pace.next_chunk_timeout(self.clock.now(), count)
             };
-            response.into_body().read_paced(limit.bytes, patience, |body| read(status, body)).await
+            response
+                .into_body()
+                .read_with_timeouts(limit.bytes, patience, |body| read(status, body))
+                .await
         };
         // Dropping the call closes its connection, so that a late answer meets nobody.
         exchange.await.inspect_err(|error| {
@@ -255,7 +258,7 @@
 fn read_page(
     status: StatusCode,
     body: &Bytes,
-    walk: &ListWalk,
+    walk: &ListPager,
     is_shared: bool,
 ) -> Result<Option<ListPage>> {
     if is_busy(status) {
@@ -276,17 +279,17 @@
     Err(Error::Refused(format!("the store answered {status}")))
 }
 
-fn read_write(status: StatusCode, body: &[u8]) -> StoreWrite {
+fn read_write(status: StatusCode, body: &[u8]) -> WriteOutcome {
     match status {
-        StatusCode::CONFLICT | StatusCode::NOT_FOUND => StoreWrite::Conflict,
-        status if is_busy(status) => StoreWrite::Refused,
+        StatusCode::CONFLICT | StatusCode::NOT_FOUND => WriteOutcome::Conflict,
+        status if is_busy(status) => WriteOutcome::Refused,
         status if status.is_success() => match decode_object(body) {
-            Ok(object) => StoreWrite::Written(object),
+            Ok(object) => WriteOutcome::Written(object),
             Err(UnreadableObject { cause, .. }) => {
                 log::warn!("event=store_answer_unreadable cause=\"{cause}\"");
-                StoreWrite::Lost
+                WriteOutcome::Unknown
             }
         },
-        _ => StoreWrite::Lost,
+        _ => WriteOutcome::Unknown,
     }
 }
--- a/src/platform/store_object.rs
+++ b/src/platform/store_object.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 
 /// Bytes of the longest object that a store holds, with what stands around it in an answer.
-pub const LONGEST_OBJECT: usize = (1 << 20) + (16 << 10);
+pub const MAX_OBJECT_BYTES: usize = (1 << 20) + (16 << 10);
 
 /// An object of the store.
 #[derive(Debug, Clone, PartialEq)]
@@ -44,9 +44,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreEvent {
     /// An object is new or has changed.
-    Stated(StoreObject),
+    Changed(StoreObject),
     /// The object of this name is gone.
-    Gone(String),
+    Removed(String),
     /// The object that is new or has changed cannot be read.
     Unreadable(UnreadableObject),
 }
@@ -60,7 +60,7 @@
     pub unreadable: Vec<UnreadableObject>,
     /// Whether it reaches to the end. Behind a page on which no name can be read, or whose last name has
     /// led to a page before, no further one can be asked for.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// Revision of the store at which the oldest part of them was read; what came after it is told by
     /// a watch.
     pub revision: u64,
--- a/src/platform/store_wire.rs
+++ b/src/platform/store_wire.rs
@@ -98,9 +98,9 @@
     let gone = optional::<bool>(&members, "gone").map(Option::unwrap_or_default);
     match (gone, decode_item(object)) {
         (Err(error), _) => StoreEvent::Unreadable(unreadable(object, &error)),
-        (Ok(false), Ok(object)) => StoreEvent::Stated(object),
-        (Ok(true), Ok(object)) => StoreEvent::Gone(object.name),
-        (Ok(true), Err(UnreadableObject { name: Some(name), .. })) => StoreEvent::Gone(name),
+        (Ok(false), Ok(object)) => StoreEvent::Changed(object),
+        (Ok(true), Ok(object)) => StoreEvent::Removed(object.name),
+        (Ok(true), Err(UnreadableObject { name: Some(name), .. })) => StoreEvent::Removed(name),
         (Ok(_), Err(object)) => StoreEvent::Unreadable(object),
     }
 }
--- a/src/streams/event_splitter.rs
+++ b/src/streams/event_splitter.rs
@@ -5,7 +5,7 @@
 
 /// One whole server-sent event, as it arrived.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StreamEvent {
+pub struct ServerSentEvent {
     /// Its number, if it has one.
     pub number: Option<u64>,
     /// Its bytes, with the blank line that ends it.
@@ -28,11 +28,11 @@
     }
 
     /// The next whole event.
-    pub fn next_event(&mut self) -> Option<StreamEvent> {
+    pub fn next_event(&mut self) -> Option<ServerSentEvent> {
         let end = self.find_end()?;
         self.searched = 0;
         let bytes = self.buffer.split_to(end).freeze();
-        Some(StreamEvent { number: read_number(&bytes), bytes })
+        Some(ServerSentEvent { number: read_number(&bytes), bytes })
     }
 
     /// Bytes after the last whole event.
--- a/src/streams/mod.rs
+++ b/src/streams/mod.rs
@@ -5,5 +5,5 @@
 mod event_splitter;
 mod token_ledger;
 
-pub use event_splitter::{EventSplitter, StreamEvent};
+pub use event_splitter::{EventSplitter, ServerSentEvent};
 pub use token_ledger::{TokenLedger, TokenVerdict};
--- a/src/streams/token_ledger.rs
+++ b/src/streams/token_ledger.rs
@@ -6,9 +6,9 @@
     /// It is the next one: write it to the caller.
     Write,
     /// It was written before: drop it.
-    Repeated,
+    Duplicate,
     /// It comes from an attempt that was given up: drop it and cancel the attempt.
-    Crossed,
+    Stale,
     /// Tokens before it are missing: the attempt is broken.
     Gap,
 }
@@ -47,12 +47,12 @@
     ///
     /// The open of a stream records nothing: only a written token does (the paper's July fault
     /// counted the open as the first commit and lost the first token on a retry).
-    pub fn judge(&mut self, attempt: AttemptId, index: u32) -> TokenVerdict {
+    pub fn admit(&mut self, attempt: AttemptId, index: u32) -> TokenVerdict {
         if self.current != Some(attempt) || self.finished {
-            return TokenVerdict::Crossed;
+            return TokenVerdict::Stale;
         }
         match index.cmp(&self.next_index) {
-            std::cmp::Ordering::Less => TokenVerdict::Repeated,
+            std::cmp::Ordering::Less => TokenVerdict::Duplicate,
             std::cmp::Ordering::Greater => TokenVerdict::Gap,
             std::cmp::Ordering::Equal => {
                 self.next_index += 1;
--- a/tests/answer_pace.rs
+++ b/tests/answer_pace.rs
@@ -20,12 +20,12 @@
 #[case::trickles(1700, 100_000, 0)]
 fn piece_is_waited_for(#[case] now_ms: u64, #[case] received: usize, #[case] expected_ms: u64) {
     let pace = AnswerPace::new(at(0), 0, LIMIT);
-    assert_eq!(pace.next(at(now_ms), received), Duration::from_millis(expected_ms));
+    assert_eq!(pace.next_chunk_timeout(at(now_ms), received), Duration::from_millis(expected_ms));
 }
 
 #[test]
 fn question_has_time_to_arrive() {
-    assert_eq!(AnswerPace::new(at(0), 0, LIMIT).first(), LIMIT);
+    assert_eq!(AnswerPace::new(at(0), 0, LIMIT).first_byte_timeout(), LIMIT);
     let second = Duration::from_secs(1);
-    assert_eq!(AnswerPace::new(at(0), 125_000, LIMIT).first(), LIMIT + second);
+    assert_eq!(AnswerPace::new(at(0), 125_000, LIMIT).first_byte_timeout(), LIMIT + second);
 }
--- a/tests/foreign_lists.rs
+++ b/tests/foreign_lists.rs
@@ -88,7 +88,7 @@
             objects.set_raw_item(SERVERS_KIND, "n-2", &named("a"));
         });
         let listed = list(&site).await;
-        assert!(!listed.is_whole);
+        assert!(!listed.is_complete);
         for name in ["a-0", "a-1", "n-0", "n-1"] {
             assert!(listed.items.iter().any(|object| object.name == name), "{name}");
         }
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -23,7 +23,7 @@
     let client = PeerClient::new("another-shared-key-0000");
     let call = client.call::<_, PeerReply>(address, &PeerRequest::Config(0), LIMIT);
     let result = fleet.runtime.block_on(call);
-    assert!(matches!(result, Err(Error::Unproven)), "{result:?}");
+    assert!(matches!(result, Err(Error::Unauthenticated)), "{result:?}");
 }
 
 #[test]
@@ -52,7 +52,10 @@
 #[case::short(&[1, 2, 3])]
 #[case::unsigned(&[0; 80])]
 fn datagram_without_proof_is_refused(#[case] bytes: &[u8]) {
-    assert!(matches!(open_datagram::<ProbeMessage>(SHARED_KEY, bytes), Err(Error::Unproven)));
+    assert!(matches!(
+        open_datagram::<ProbeMessage>(SHARED_KEY, bytes),
+        Err(Error::Unauthenticated)
+    ));
 }
 
 #[test]
--- a/tests/server_limits.rs
+++ b/tests/server_limits.rs
@@ -2,14 +2,14 @@
 
 use rstest::rstest;
 use std::time::Duration;
-use tealcleat::platform::{LimitNaming, read_limit};
+use tealcleat::platform::{LimitHeader, read_limit};
 use tealcleat::server_limits::{LimitTable, LimitUpdate};
 
 mod limit_common;
 
 use limit_common::{at, limit, server, update};
 
-fn naming(values: &[&str]) -> LimitNaming {
+fn naming(values: &[&str]) -> LimitHeader {
     let mut headers = http::HeaderMap::new();
     for value in values {
         let value = http::HeaderValue::from_bytes(value.as_bytes()).expect("a value");
@@ -25,7 +25,7 @@
 #[case::spaces(" 3.3 ", 3.3)]
 #[case::large("1000000000", 1e9)]
 fn limit_read(#[case] text: &str, #[case] expected: f64) {
-    let LimitNaming::Named(limit) = naming(&[text]) else { panic!("{text:?} is not parsed") };
+    let LimitHeader::Valid(limit) = naming(&[text]) else { panic!("{text:?} is not parsed") };
     assert!((limit.per_second() - expected).abs() < 1e-9);
 }
 
@@ -44,14 +44,14 @@
 #[case::other_digits("\u{663}")]
 #[case::long("0.0000000000000000000000000000000000001")]
 fn malformed_limit_refused(#[case] text: &str) {
-    assert!(matches!(naming(&[text]), LimitNaming::Malformed(_)), "{text:?}");
+    assert!(matches!(naming(&[text]), LimitHeader::Malformed(_)), "{text:?}");
 }
 
 #[test]
 fn limit_named_twice() {
-    assert_eq!(naming(&["5", "3.3"]), LimitNaming::Named(limit("3.3")));
-    assert!(matches!(naming(&["5", "x"]), LimitNaming::Malformed(_)));
-    assert_eq!(naming(&[]), LimitNaming::Absent);
+    assert_eq!(naming(&["5", "3.3"]), LimitHeader::Valid(limit("3.3")));
+    assert!(matches!(naming(&["5", "x"]), LimitHeader::Malformed(_)));
+    assert_eq!(naming(&[]), LimitHeader::Absent);
 }
 
 fn named(table: &mut LimitTable, now: u64, sent: u64, text: &str) -> bool {
--- a/tests/store_answers.rs
+++ b/tests/store_answers.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tealcleat::bench::site::{DuplicateLink, DuplicatePlan, SiteStore};
-use tealcleat::platform::{ListAge, StoreClient, StoreWrite};
+use tealcleat::platform::{ListAge, StoreClient, WriteOutcome};
 
 mod site_common;
 
@@ -47,9 +47,9 @@
         let (_store, link, client) = duplicating_store().await;
         link.duplicate(DuplicatePlan { request_has: "post ", times: 1 });
         let made = client.write("claims", "c", None, &json!({"of": "c"}), LIMIT).await;
-        assert!(matches!(made, StoreWrite::Written(_)), "{made:?}");
+        assert!(matches!(made, WriteOutcome::Written(_)), "{made:?}");
         let refused = client.write("claims", "a", Some(9999), &json!({"of": "x"}), LIMIT).await;
-        assert_eq!(refused, StoreWrite::Conflict);
+        assert_eq!(refused, WriteOutcome::Conflict);
         assert_eq!(link.left(), 0, "nothing was answered twice");
     });
 }
