--- a/src/bench/fleet.rs
+++ b/src/bench/fleet.rs
@@ -3,7 +3,7 @@
     FaultCommand, FaultKind, FleetOptions, HostProcess, StandinAddresses, StandinStats, http_call,
     operator_call,
 };
-use crate::host::{ConfirmAsk, HostStatus, OperatorAnswer};
+use crate::host::{ConfirmRequest, HostStatus, OperatorReply};
 use crate::{Error, Result};
 use serde_json::json;
 use std::net::SocketAddr;
@@ -71,17 +71,17 @@
     /// If it was refused.
     pub fn confirm(&self, host: usize, intent: &str) -> Result<u64> {
         let plan = match self.ask_operator(host, "POST", "/plan", intent)? {
-            OperatorAnswer::Plan(plan) => plan,
+            OperatorReply::Plan(plan) => plan,
             other => return Err(Error::Refused(format!("{other:?}"))),
         };
-        let ask = ConfirmAsk {
+        let request = ConfirmRequest {
             intent: intent.to_owned(),
             base_version: plan.base_version,
             digest: plan.digest,
         };
-        let text = serde_json::to_string(&ask)?;
+        let text = serde_json::to_string(&request)?;
         match self.ask_operator(host, "POST", "/confirm", &text)? {
-            OperatorAnswer::Confirmed(version) => Ok(version),
+            OperatorReply::Confirmed(version) => Ok(version),
             other => Err(Error::Refused(format!("{other:?}"))),
         }
     }
@@ -96,7 +96,7 @@
         method: &str,
         path: &str,
         body: &str,
-    ) -> Result<OperatorAnswer> {
+    ) -> Result<OperatorReply> {
         Ok(serde_json::from_str(&self.operator_text(host, method, path, body)?)?)
     }
 
--- a/src/bench/worlds/member_world.rs
+++ b/src/bench/worlds/member_world.rs
@@ -1,5 +1,5 @@
 use super::{Sabotage, WorldReport};
-use crate::intents::{ClusterConfig, ConfigKeeper};
+use crate::intents::{ActiveConfig, ClusterConfig};
 use crate::keys::{IncarnationId, NameKey, TimePoint};
 use crate::membership::{
     MemberState, MemberTable, MemberUpdate, ProbeMessage, TableAction, ViewMark,
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 struct MemberHost {
     table: MemberTable,
-    keeper: ConfigKeeper,
+    config: ActiveConfig,
     address: SocketAddr,
     alive: bool,
     paused_until: TimePoint,
@@ -89,7 +89,7 @@
         let seeds = [0, HOSTS_EACH, 2 * HOSTS_EACH].map(address_of).to_vec();
         MemberHost {
             table: MemberTable::new(own, seeds, self.rng.random()),
-            keeper: ConfigKeeper::default(),
+            config: ActiveConfig::default(),
             address,
             alive: true,
             paused_until: TimePoint::default(),
@@ -120,13 +120,13 @@
     }
 
     fn adopt(&mut self, place: usize, version: u64) {
-        let before = self.hosts[place].keeper.current().version;
+        let before = self.hosts[place].config.current().version;
         let config = ClusterConfig { version, ..Default::default() };
         if self.sabotage == Sabotage::AdoptOlder {
-            self.hosts[place].keeper = ConfigKeeper::default();
+            self.hosts[place].config = ActiveConfig::default();
         }
-        self.hosts[place].keeper.adopt(config);
-        let after = self.hosts[place].keeper.current().version;
+        self.hosts[place].config.adopt(config);
+        let after = self.hosts[place].config.current().version;
         if after < before {
             self.report.note_broken(format!("host {place} went back from {before} to {after}"));
         }
@@ -182,7 +182,7 @@
                     let source = self.hosts.iter().position(|host| host.address == from);
                     let Some(source) = source.filter(|s| self.hosts[*s].alive) else { continue };
                     if !self.is_cut(place, source) {
-                        let version = self.hosts[source].keeper.current().version;
+                        let version = self.hosts[source].config.current().version;
                         self.fetch(place, version);
                     }
                 }
@@ -207,7 +207,7 @@
     }
 
     fn fetch(&mut self, place: usize, version: u64) {
-        let known = self.hosts[place].keeper.current().version;
+        let known = self.hosts[place].config.current().version;
         // Answers cross: now and then an older one comes last.
         let stale = self.rng.random_bool(0.1) && version > 1;
         if version > known {
@@ -245,10 +245,10 @@
     /// All living hosts agree on who lives, who owns what, and the newest version.
     fn check(&mut self) {
         let living: Vec<usize> = (0..self.hosts.len()).filter(|p| self.hosts[*p].alive).collect();
-        let known = living.iter().map(|p| self.hosts[*p].keeper.current().version).max();
+        let known = living.iter().map(|p| self.hosts[*p].config.current().version).max();
         for place in &living {
             let host = &self.hosts[*place];
-            let version = host.keeper.current().version;
+            let version = host.config.current().version;
             if Some(version) != known {
                 let line = format!("host {place} is at version {version}, not {known:?}");
                 self.report.note_broken(line);
--- a/src/bin/tealcleat-load/demo.rs
+++ b/src/bin/tealcleat-load/demo.rs
@@ -126,19 +126,19 @@
         )
     };
     let ours = intent("second", "late");
-    let tealcleat::host::OperatorAnswer::Plan(plan) =
+    let tealcleat::host::OperatorReply::Plan(plan) =
         fleet.ask_operator(0, "POST", "/plan", &ours)?
     else {
         return Err(Error::Refused("no plan".to_owned()));
     };
     fleet.confirm(1, &intent("first", "early"))?;
-    let ask = tealcleat::host::ConfirmAsk {
+    let request = tealcleat::host::ConfirmRequest {
         intent: ours,
         base_version: plan.base_version,
         digest: plan.digest,
     };
-    match fleet.ask_operator(0, "POST", "/confirm", &serde_json::to_string(&ask)?)? {
-        tealcleat::host::OperatorAnswer::Stale(changes) => Ok(changes.join(", ")),
+    match fleet.ask_operator(0, "POST", "/confirm", &serde_json::to_string(&request)?)? {
+        tealcleat::host::OperatorReply::Stale(changes) => Ok(changes.join(", ")),
         other => Err(Error::Refused(format!("{other:?}"))),
     }
 }
--- a/src/bin/tealcleat/controller.rs
+++ b/src/bin/tealcleat/controller.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use tealcleat::accounts::{CallAccount, LogRecord};
 use tealcleat::bench::operator_call;
-use tealcleat::host::{ConfirmAsk, HostStatus, OperatorAnswer};
+use tealcleat::host::{ConfirmRequest, HostStatus, OperatorReply};
 use tealcleat::settings::{SourceText, check_text};
 use tealcleat::telemetry::SpanRecord;
 use tealcleat::{Error, Result};
@@ -41,7 +41,7 @@
             check_text(&source)?;
             let digest = u64::from_str_radix(digest, 16)
                 .map_err(|error| Error::Refused(format!("--digest: {error}")))?;
-            let confirm = ConfirmAsk { intent: source.text, base_version: *base, digest };
+            let confirm = ConfirmRequest { intent: source.text, base_version: *base, digest };
             let text = ask(config, "POST", "/confirm", &serde_json::to_string(&confirm)?)?;
             answer(config, &text, file)
         }
@@ -129,15 +129,15 @@
 }
 
 fn answer(config: &Config, text: &str, file: &Path) -> Result<ExitStatus> {
-    let answer: OperatorAnswer = serde_json::from_str(text)?;
+    let answer: OperatorReply = serde_json::from_str(text)?;
     if config.json {
         println!("{text}");
     } else {
         output::print_answer(&answer, file);
     }
     Ok(match answer {
-        OperatorAnswer::Plan(_) | OperatorAnswer::Confirmed(_) => ExitStatus::Done,
-        OperatorAnswer::Findings(_) | OperatorAnswer::Stale(_) => ExitStatus::Refused,
-        OperatorAnswer::Unsettled(_) => ExitStatus::Unsettled,
+        OperatorReply::Plan(_) | OperatorReply::Confirmed(_) => ExitStatus::Done,
+        OperatorReply::Findings(_) | OperatorReply::Stale(_) => ExitStatus::Refused,
+        OperatorReply::Unsettled(_) => ExitStatus::Unsettled,
     })
 }
--- a/src/bin/tealcleat/output.rs
+++ b/src/bin/tealcleat/output.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use tealcleat::Error;
 use tealcleat::accounts::AccountRow;
-use tealcleat::host::{HostStatus, OperatorAnswer};
+use tealcleat::host::{HostStatus, OperatorReply};
 use tealcleat::telemetry::SpanRecord;
 
 /// Prints an error; findings with their place in the text.
@@ -29,9 +29,9 @@
 }
 
 /// Prints a plan or what became of a confirmation.
-pub fn print_answer(answer: &OperatorAnswer, file: &Path) {
+pub fn print_answer(answer: &OperatorReply, file: &Path) {
     match answer {
-        OperatorAnswer::Plan(plan) => {
+        OperatorReply::Plan(plan) => {
             println!("plan from version {} for {}:", plan.base_version, plan.operator);
             for (place, step) in plan.steps.iter().enumerate() {
                 println!("  {}. {}", place + 1, step.text);
@@ -55,19 +55,19 @@
                 plan.digest
             );
         }
-        OperatorAnswer::Confirmed(version) => println!("confirmed as version {version}"),
-        OperatorAnswer::Findings(findings) => {
+        OperatorReply::Confirmed(version) => println!("confirmed as version {version}"),
+        OperatorReply::Findings(findings) => {
             for finding in findings {
                 eprintln!("[tealcleat error]: {finding}");
             }
         }
-        OperatorAnswer::Stale(changes) => {
+        OperatorReply::Stale(changes) => {
             eprintln!("[tealcleat error]: the plan is stale; plan again. Since then:");
             for change in changes {
                 eprintln!("  {change}");
             }
         }
-        OperatorAnswer::Unsettled(cause) => {
+        OperatorReply::Unsettled(cause) => {
             eprintln!(
                 "[tealcleat error]: not settled ({cause}); look at the status before trying again"
             );
--- a/src/host/host_state.rs
+++ b/src/host/host_state.rs
@@ -2,7 +2,7 @@
 use crate::claims::{OutcomeTable, TicketRegistry};
 use crate::engines::EngineClient;
 use crate::fleet::ViewFreshness;
-use crate::intents::{ClusterConfig, ConfigKeeper};
+use crate::intents::{ActiveConfig, ClusterConfig};
 use crate::keys::{AttemptId, HostClock, IncarnationId, NameKey, ServerKey, TimePoint};
 use crate::membership::{MemberTable, MemberUpdate};
 use crate::orders::OrderPlanner;
@@ -26,7 +26,7 @@
     pub incarnation: IncarnationId,
     clock: HostClock,
     serials: AtomicU64,
-    pub(super) config: Mutex<ConfigKeeper>,
+    pub(super) config: Mutex<ActiveConfig>,
     pub(super) members: Mutex<MemberTable>,
     pub(super) owned: Mutex<HashMap<ServerKey, OwnedServer>>,
     pub(super) attempts: Mutex<HashMap<AttemptId, AttemptStay>>,
--- a/src/host/plan_desk.rs
+++ b/src/host/plan_handler.rs
@@ -12,7 +12,7 @@
 
 /// What an operator confirms: the intent, and the plan that was shown.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct ConfirmAsk {
+pub struct ConfirmRequest {
     /// The intent's text.
     pub intent: String,
     /// The configuration version that the plan was made from.
@@ -24,7 +24,7 @@
 /// An answer to an operator.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum OperatorAnswer {
+pub enum OperatorReply {
     /// The plan.
     Plan(PlanDraft),
     /// Confirmed; this version will be in force everywhere.
@@ -39,7 +39,7 @@
 
 impl HostState {
     /// Draws up the plan of an intent from the newest configuration that can be had.
-    pub fn plan(self: &Arc<Self>, text: &str) -> OperatorAnswer {
+    pub fn plan(self: &Arc<Self>, text: &str) -> OperatorReply {
         let intent = match read_intent(text) {
             Ok(intent) => intent,
             Err(answer) => return answer,
@@ -49,13 +49,13 @@
             log::info!("event=planned_without_store cause=\"{error}\"");
         }
         match draft_plan(&self.config(), &intent) {
-            Ok(plan) => OperatorAnswer::Plan(plan),
+            Ok(plan) => OperatorReply::Plan(plan),
             Err(refusal) => from_refusal(refusal),
         }
     }
 
     /// Confirms a plan by a conditional write, read back when its answer is lost.
-    pub fn confirm(self: &Arc<Self>, ask: &ConfirmAsk) -> OperatorAnswer {
+    pub fn confirm(self: &Arc<Self>, ask: &ConfirmRequest) -> OperatorReply {
         let intent = match read_intent(&ask.intent) {
             Ok(intent) => intent,
             Err(answer) => return answer,
@@ -72,7 +72,7 @@
             };
             // An earlier try whose answer was lost may have taken effect.
             if let Some(note) = current.history.iter().find(|note| note.change_id == change_id) {
-                return OperatorAnswer::Confirmed(note.version);
+                return OperatorReply::Confirmed(note.version);
             }
             let next = match apply_plan(&current, &intent, ask.base_version, ask.digest, change_id)
             {
@@ -84,30 +84,30 @@
                     let version = object.revision;
                     self.adopt_config(ClusterConfig { version, ..next });
                     log::info!("event=confirmed version={version} operator={:?}", intent.operator);
-                    return OperatorAnswer::Confirmed(version);
+                    return OperatorReply::Confirmed(version);
                 }
                 WriteOutcome::Conflict => {}
                 WriteOutcome::Refused => last = "the store refused the write".to_owned(),
                 WriteOutcome::Unknown => last = "the store's answer was lost".to_owned(),
             }
         }
-        OperatorAnswer::Unsettled(last)
+        OperatorReply::Unsettled(last)
     }
 }
 
-fn read_intent(text: &str) -> std::result::Result<IntentSpec, OperatorAnswer> {
+fn read_intent(text: &str) -> std::result::Result<IntentSpec, OperatorReply> {
     let source = SourceText { name: "intent".to_owned(), text: text.to_owned() };
     IntentSpec::try_from(&source).map_err(|error| match error {
-        Error::Settings(findings) => OperatorAnswer::Findings(findings.lines()),
-        other => OperatorAnswer::Findings(vec![other.to_string()]),
+        Error::Settings(findings) => OperatorReply::Findings(findings.lines()),
+        other => OperatorReply::Findings(vec![other.to_string()]),
     })
 }
 
-fn from_refusal(refusal: PlanRefusal) -> OperatorAnswer {
+fn from_refusal(refusal: PlanRefusal) -> OperatorReply {
     match refusal {
-        PlanRefusal::Findings(findings) => OperatorAnswer::Findings(findings),
-        PlanRefusal::Stale(changes) => OperatorAnswer::Stale(changes),
-        PlanRefusal::OtherPlan => OperatorAnswer::Findings(vec![
+        PlanRefusal::Findings(findings) => OperatorReply::Findings(findings),
+        PlanRefusal::Stale(changes) => OperatorReply::Stale(changes),
+        PlanRefusal::OtherPlan => OperatorReply::Findings(vec![
             "the intent differs from the one that was planned; plan it again".to_owned(),
         ]),
     }
--- a/src/intents/config_keeper.rs
+++ b/src/intents/active_config.rs
@@ -3,11 +3,11 @@
 
 /// The configuration in force on this host; it never goes back.
 #[derive(Debug, Default)]
-pub struct ConfigKeeper {
+pub struct ActiveConfig {
     current: Arc<ClusterConfig>,
 }
 
-impl ConfigKeeper {
+impl ActiveConfig {
     /// The configuration in force; version zero means none is confirmed yet.
     pub fn current(&self) -> Arc<ClusterConfig> {
         Arc::clone(&self.current)
--- a/src/operators/operator_server.rs
+++ b/src/operators/operator_server.rs
@@ -1,4 +1,4 @@
-use crate::host::{ConfirmAsk, HostState};
+use crate::host::{ConfirmRequest, HostState};
 use crate::{Error, Result};
 use hmac::{Hmac, Mac};
 use rouille::{Request, Response};
@@ -39,9 +39,9 @@
             Err(error) => bad_request(&error),
         },
         ("POST", "/confirm") => match read_text(request)
-            .and_then(|text| Ok(serde_json::from_str::<ConfirmAsk>(&text)?))
+            .and_then(|text| Ok(serde_json::from_str::<ConfirmRequest>(&text)?))
         {
-            Ok(ask) => Response::json(&host.confirm(&ask)),
+            Ok(request) => Response::json(&host.confirm(&request)),
             Err(error) => bad_request(&error),
         },
         ("POST", "/drain") => {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,7 +9,7 @@
     BenchCaller, CallResult, Completion, Deployment, DeploymentKind, FaultCommand, FaultKind,
     StandinAddresses, StandinSet, answer_tokens, prompt_hash, start_standins,
 };
-use tealcleat::host::{ConfirmAsk, Daemon, HostState, OperatorAnswer, start_daemon};
+use tealcleat::host::{ConfirmRequest, Daemon, HostState, OperatorReply, start_daemon};
 use tealcleat::intents::PlanDraft;
 use tealcleat::placement::PlacementPolicy;
 use tealcleat::settings::HostSettings;
@@ -88,13 +88,13 @@
 
     pub fn plan(&self, place: usize, intent: &str) -> PlanDraft {
         match self.host(place).plan(intent) {
-            OperatorAnswer::Plan(plan) => plan,
+            OperatorReply::Plan(plan) => plan,
             other => panic!("no plan: {other:?}"),
         }
     }
 
-    pub fn confirm_plan(&self, place: usize, intent: &str, plan: &PlanDraft) -> OperatorAnswer {
-        self.host(place).confirm(&ConfirmAsk {
+    pub fn confirm_plan(&self, place: usize, intent: &str, plan: &PlanDraft) -> OperatorReply {
+        self.host(place).confirm(&ConfirmRequest {
             intent: intent.to_owned(),
             base_version: plan.base_version,
             digest: plan.digest,
@@ -104,7 +104,7 @@
     pub fn confirm(&self, place: usize, intent: &str) -> u64 {
         let plan = self.plan(place, intent);
         match self.confirm_plan(place, intent, &plan) {
-            OperatorAnswer::Confirmed(version) => version,
+            OperatorReply::Confirmed(version) => version,
             other => panic!("not confirmed: {other:?}"),
         }
     }
--- a/tests/intents.rs
+++ b/tests/intents.rs
@@ -4,7 +4,7 @@
 
 use common::{LocalFleet, wait_until};
 use tealcleat::bench::{CallResult, Completion, FaultKind};
-use tealcleat::host::OperatorAnswer;
+use tealcleat::host::OperatorReply;
 
 fn admit(operator: &str, name: &str) -> String {
     format!(r#"{{"kind":"intent","operator":"{operator}","organisations":[{{"name":"{name}"}}]}}"#)
@@ -15,8 +15,8 @@
     let fleet = LocalFleet::start();
     let (ann, bo) = (admit("ann", "first"), admit("bo", "second"));
     let (ann_plan, bo_plan) = (fleet.plan(0, &ann), fleet.plan(2, &bo));
-    assert!(matches!(fleet.confirm_plan(0, &ann, &ann_plan), OperatorAnswer::Confirmed(2)));
-    let OperatorAnswer::Stale(changes) = fleet.confirm_plan(2, &bo, &bo_plan) else {
+    assert!(matches!(fleet.confirm_plan(0, &ann, &ann_plan), OperatorReply::Confirmed(2)));
+    let OperatorReply::Stale(changes) = fleet.confirm_plan(2, &bo, &bo_plan) else {
         panic!("a stale plan was confirmed");
     };
     assert_eq!(changes, ["v2 by ann: admit organisation first"]);
@@ -29,7 +29,7 @@
     let plan = fleet.plan(0, &intent);
     fleet.fault("platform", FaultKind::LoseAnswers, true);
     let answer = fleet.confirm_plan(0, &intent, &plan);
-    assert!(matches!(answer, OperatorAnswer::Confirmed(2)), "{answer:?}");
+    assert!(matches!(answer, OperatorReply::Confirmed(2)), "{answer:?}");
     fleet.fault("platform", FaultKind::LoseAnswers, false);
     fleet.wait_ready(2);
     assert_eq!(fleet.host(1).config().history.len(), 2, "it was confirmed once");
@@ -42,11 +42,11 @@
     let plan = fleet.plan(0, &intent);
     fleet.fault("platform", FaultKind::Outage, true);
     let answer = fleet.confirm_plan(0, &intent, &plan);
-    assert!(matches!(answer, OperatorAnswer::Unsettled(_)), "{answer:?}");
+    assert!(matches!(answer, OperatorReply::Unsettled(_)), "{answer:?}");
     assert!(fleet.daemons.iter().all(|daemon| daemon.host.config().version == 1));
     fleet.fault("platform", FaultKind::Outage, false);
     wait_until("the store's return", || {
-        matches!(fleet.confirm_plan(0, &intent, &plan), OperatorAnswer::Confirmed(2))
+        matches!(fleet.confirm_plan(0, &intent, &plan), OperatorReply::Confirmed(2))
     });
     fleet.wait_ready(2);
 }
@@ -80,7 +80,7 @@
     let fleet = LocalFleet::start();
     let intent = r#"{"kind":"intent","operator":"ann","leave":["nobody","gasan-decode-1"],
         "role":[{"server":"gasan-decode-1","role":"decode"}]}"#;
-    let OperatorAnswer::Findings(findings) = fleet.host(0).plan(intent) else {
+    let OperatorReply::Findings(findings) = fleet.host(0).plan(intent) else {
         panic!("contradictions were planned");
     };
     assert_eq!(
