--- a/src/bench/site/test_site.rs
+++ b/src/bench/site/test_site.rs
@@ -257,7 +257,7 @@
         seeds,
         shared_key: "a-shared-key-of-tests".to_owned(),
         bounds: GatewayBounds {
-            grace: Duration::from_secs(8),
+            grace_period: Duration::from_secs(8),
             retries: RetryBounds {
                 ratio: 0.2,
                 slack: 200.0,
@@ -265,7 +265,7 @@
                 domains: 1,
             },
             lease: Duration::from_secs(3),
-            revocation: Some(REVOCATION),
+            max_revocation_delay: Some(REVOCATION),
             limits: LimitBounds {
                 window: Duration::from_secs(8),
                 over: 0.1,
--- a/src/bin/tealcleatd/app.rs
+++ b/src/bin/tealcleatd/app.rs
@@ -6,7 +6,7 @@
 use tealcleat::gateway::{GatewayHost, start_gateway};
 use tealcleat::host::{Daemon, start_daemon};
 use tealcleat::settings::{DaemonSettings, GatewaySettings, HostSettings, SourceText};
-use tealcleat::telemetry::{finish_logs, start_logs};
+use tealcleat::telemetry::{flush_logs, start_logs};
 use tealcleat::{Error, Result};
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -47,7 +47,7 @@
             run_gateway(*settings, SettingsFile { path, text: source.text })
         }
     };
-    finish_logs();
+    flush_logs();
     result
 }
 
--- a/src/callers/caller_headers.rs
+++ b/src/callers/caller_headers.rs
@@ -98,5 +98,5 @@
 /// A malformed `traceparent` starts a new trace, as the W3C recommendation asks.
 fn trace(headers: &HeaderMap) -> TraceParent {
     let given = headers.get("traceparent").and_then(|value| value.to_str().ok());
-    given.and_then(|text| text.parse().ok()).unwrap_or_else(TraceParent::fresh)
+    given.and_then(|text| text.parse().ok()).unwrap_or_else(TraceParent::new_trace)
 }
--- a/src/gateway/event_relay.rs
+++ b/src/gateway/event_relay.rs
@@ -284,5 +284,5 @@
     );
     let mut metrics = context.host.metrics();
     metrics.add(end.name(), 1);
-    metrics.note_time("first_event_seconds", route, "all", first);
+    metrics.record_duration("first_event_seconds", route, "all", first);
 }
--- a/src/gateway/gateway_host.rs
+++ b/src/gateway/gateway_host.rs
@@ -16,7 +16,7 @@
 use crate::routes::RouteTable;
 use crate::server_limits::{PermitReply, SendControl};
 use crate::settings::GatewaySettings;
-use crate::telemetry::MetricBook;
+use crate::telemetry::MetricRegistry;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64};
@@ -67,7 +67,7 @@
     clock: HostClock,
     pub(super) next_serial: AtomicU64,
     state: Mutex<GatewayState>,
-    metrics: Mutex<MetricBook>,
+    metrics: Mutex<MetricRegistry>,
     pub(super) pool: HttpPool,
     pub(super) store: StoreClient,
     pub(super) peers: PeerClient,
@@ -171,7 +171,7 @@
     }
 
     /// Locks the metrics, for one short change.
-    pub fn metrics(&self) -> MutexGuard<'_, MetricBook> {
+    pub fn metrics(&self) -> MutexGuard<'_, MetricRegistry> {
         lock(&self.metrics)
     }
 
@@ -199,7 +199,7 @@
 
     /// Applies changed settings, as far as that is possible without a restart.
     pub fn reload(&self, newer: &GatewaySettings) {
-        let fixed = self.settings.fixed_changes(newer).join(",");
+        let fixed = self.settings.changes_needing_restart(newer).join(",");
         let own = self.peers_address;
         let seeds = newer.seeds.iter().copied().filter(|seed| *seed != own).collect();
         {
--- a/src/gateway/gateway_start.rs
+++ b/src/gateway/gateway_start.rs
@@ -81,7 +81,7 @@
     /// requests, and finally it exits once the requests in flight have ended or the platform's grace period
     /// is over. Returns the number of requests that the exit cuts off.
     pub async fn stop_gracefully(self: &Arc<Self>) -> u64 {
-        let plan = StopPlan::new(self.state().bounds.grace);
+        let plan = StopPlan::new(self.state().bounds.grace_period);
         let exit_at = self.now() + plan.exit_after;
         self.stop_sender.send_replace(StopPhase::Draining);
         let drain_actions = {
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -119,7 +119,8 @@
     /// The longest time for which caller keys stay valid without proof that the configuration is the newest
     /// one; `None` if callers need no keys or nothing bounds it.
     pub fn max_config_age(&self) -> Option<Duration> {
-        let bound = self.bounds.revocation.filter(|_| !self.routes.organisations().is_empty());
+        let bound =
+            self.bounds.max_revocation_delay.filter(|_| !self.routes.organisations().is_empty());
         bound.map(|bound| bound.saturating_sub(REVOCATION_MARGIN))
     }
 
--- a/src/gateway/ready_server.rs
+++ b/src/gateway/ready_server.rs
@@ -60,7 +60,7 @@
         }
         EndpointKind::Ready if host.is_ready() => (StatusCode::OK, String::new()),
         EndpointKind::Ready => (StatusCode::SERVICE_UNAVAILABLE, String::new()),
-        EndpointKind::Metrics => (StatusCode::OK, host.metrics().prometheus()),
+        EndpointKind::Metrics => (StatusCode::OK, host.metrics().prometheus_text()),
     };
     let mut answer = Response::new(CallerBody::Whole(Some(Bytes::from(body))));
     *answer.status_mut() = status;
--- a/src/host/books_attempt.rs
+++ b/src/host/books_attempt.rs
@@ -108,7 +108,7 @@
         return PairStart::Refused;
     };
     let waited = host.now().since(waiting_since);
-    host.metrics().note_time("queue_seconds", &ask.class.name, &ask.organisation, waited);
+    host.metrics().record_duration("queue_seconds", &ask.class.name, &ask.organisation, waited);
     host.note_span(ask.trace, "queue", waiting_since, format!("work_us={work_micros}"));
     // Without a reservation the slot is first asked for when the prefill has ended.
     guard.hold_decode(decode);
--- a/src/host/completion_run.rs
+++ b/src/host/completion_run.rs
@@ -75,7 +75,7 @@
         sink,
     };
     let outcome = run_attempts(&host, &ask, &mut answer).await;
-    host.metrics().note_outcome(outcome, &ask.class.name, &ask.organisation);
+    host.metrics().record_outcome(outcome, &ask.class.name, &ask.organisation);
     let detail = format!("request={} outcome={}", ask.request, outcome.name());
     host.note_span(ask.trace, "completion", arrived, detail);
     log::debug!(
--- a/src/host/decode_leg.rs
+++ b/src/host/decode_leg.rs
@@ -174,7 +174,7 @@
             Some(last) => ("between_tokens_seconds", last),
         };
         let took = now.since(since);
-        host.metrics().note_time(metric, &ask.class.name, &ask.organisation, took);
+        host.metrics().record_duration(metric, &ask.class.name, &ask.organisation, took);
         if self.last_token.is_none() {
             host.note_span(ask.trace, "first_token", self.arrived, String::new());
             if took > ask.first_token {
--- a/src/host/host_state.rs
+++ b/src/host/host_state.rs
@@ -10,7 +10,7 @@
 use crate::placement::{ReportTable, RetryBudget};
 use crate::platform::StoreClient;
 use crate::settings::HostSettings;
-use crate::telemetry::{MetricBook, SpanRecord, TraceBook, TraceParent};
+use crate::telemetry::{MetricRegistry, SpanBuffer, SpanRecord, TraceParent};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -36,8 +36,8 @@
     pub(super) outcomes: Mutex<OutcomeTable>,
     pub(super) tickets: Mutex<TicketRegistry>,
     pub(super) claims: ClaimDesk,
-    pub(super) metrics: Mutex<MetricBook>,
-    pub(super) traces: Mutex<TraceBook>,
+    pub(super) metrics: Mutex<MetricRegistry>,
+    pub(super) traces: Mutex<SpanBuffer>,
     pub(super) peers: PeerClient,
     pub(super) engines: EngineClient,
     pub(super) store: StoreClient,
@@ -126,7 +126,7 @@
     }
 
     /// Metrics, for one short change.
-    pub fn metrics(&self) -> MutexGuard<'_, MetricBook> {
+    pub fn metrics(&self) -> MutexGuard<'_, MetricRegistry> {
         lock(&self.metrics)
     }
 
@@ -149,7 +149,7 @@
             took_micros: micros(took),
             detail,
         };
-        lock(&self.traces).note(record);
+        lock(&self.traces).record(record);
     }
 }
 
--- a/src/host/peer_desk.rs
+++ b/src/host/peer_desk.rs
@@ -44,7 +44,7 @@
                 let presented = match config.service(&service) {
                     Some(spec) => {
                         let spec = spec.clone();
-                        let trace = TraceParent::fresh();
+                        let trace = TraceParent::new_trace();
                         self.spend_ticket(ticket, key, body_hash, spec, path, body, trace).await
                     }
                     None => KeyStatus::Unknown,
--- a/src/host/status_report.rs
+++ b/src/host/status_report.rs
@@ -105,7 +105,7 @@
     /// Metrics in Prometheus text, with this moment's traffic counters.
     pub fn metrics_text(&self) -> String {
         let (bytes, calls) = self.peers.traffic();
-        let mut text = self.metrics().prometheus();
+        let mut text = self.metrics().prometheus_text();
         text.push_str(&format!("tealcleat_peer_bytes_total {bytes}\n"));
         text.push_str(&format!("tealcleat_peer_calls_total {calls}\n"));
         let reports = self.engines.report_bytes();
--- a/src/settings/gateway_settings.rs
+++ b/src/settings/gateway_settings.rs
@@ -11,13 +11,13 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct GatewayBounds {
     /// How long the platform waits between asking this process to stop and ending it.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// Bounds on repeats, over all hosts.
     pub retries: RetryBounds,
     /// How long after one holder's last order no other may give one.
     pub lease: Duration,
     /// How long after it was taken away a caller's key may still be served; `None` for no bound.
-    pub revocation: Option<Duration>,
+    pub max_revocation_delay: Option<Duration>,
     /// How limits of organisations are measured, over all hosts.
     pub limits: LimitBounds,
 }
@@ -86,7 +86,7 @@
 fn read_bounds(reader: &mut FieldReader<'_, '_>) -> GatewayBounds {
     let domains = reader.strings("domains").len().max(1);
     GatewayBounds {
-        grace: seconds(reader.decimal("grace_s", 0.0..=600.0, 8.0)),
+        grace_period: seconds(reader.decimal("grace_s", 0.0..=600.0, 8.0)),
         retries: RetryBounds {
             ratio: reader.decimal("retry_ratio", 0.0..=10.0, 0.1),
             slack: reader.decimal("retry_slack", 0.0..=1e6, 10.0),
@@ -94,7 +94,7 @@
             domains,
         },
         lease: Duration::from_millis(reader.number("lease_ms", 0..=600_000, Some(3000))),
-        revocation: reader
+        max_revocation_delay: reader
             .optional_number("revocation_ms", 1000..=600_000)
             .map(Duration::from_millis),
         limits: LimitBounds {
@@ -108,7 +108,7 @@
 
 impl GatewaySettings {
     /// Names of the keys that differ from `newer` and need a restart.
-    pub fn fixed_changes(&self, newer: &Self) -> Vec<&'static str> {
+    pub fn changes_needing_restart(&self, newer: &Self) -> Vec<&'static str> {
         let changed = [
             ("host", self.host != newer.host),
             ("domain", self.domain != newer.domain),
--- a/src/telemetry/log_line.rs
+++ b/src/telemetry/log_line.rs
@@ -6,7 +6,7 @@
 const FAREWELL: Duration = Duration::from_millis(30);
 
 /// Waits for the last lines to be written.
-pub fn finish_logs() {
+pub fn flush_logs() {
     std::thread::sleep(FAREWELL);
 }
 
--- a/src/telemetry/metric_book.rs
+++ b/src/telemetry/metric_registry.rs
@@ -46,7 +46,7 @@
 
 /// Metrics of this host: time histograms and counters by class and organisation.
 #[derive(Debug, Default)]
-pub struct MetricBook {
+pub struct MetricRegistry {
     times: BTreeMap<SeriesKey, Histogram<u64>>,
     outcomes: BTreeMap<(RequestOutcome, String, String), u64>,
     counters: BTreeMap<&'static str, u64>,
@@ -54,9 +54,15 @@
     pub waste: WasteLedger,
 }
 
-impl MetricBook {
+impl MetricRegistry {
     /// Records a time, such as `first_token_seconds`.
-    pub fn note_time(&mut self, metric: &'static str, class: &str, org: &str, took: Duration) {
+    pub fn record_duration(
+        &mut self,
+        metric: &'static str,
+        class: &str,
+        org: &str,
+        took: Duration,
+    ) {
         let full = self.times.len() >= MOST_SERIES;
         let mut key = SeriesKey { metric, class: class.to_owned(), organisation: org.to_owned() };
         if full && !self.times.contains_key(&key) {
@@ -69,7 +75,7 @@
     }
 
     /// Counts the end of a request.
-    pub fn note_outcome(&mut self, outcome: RequestOutcome, class: &str, org: &str) {
+    pub fn record_outcome(&mut self, outcome: RequestOutcome, class: &str, org: &str) {
         *self.outcomes.entry((outcome, class.to_owned(), org.to_owned())).or_default() += 1;
     }
 
@@ -89,7 +95,7 @@
     }
 
     /// All metrics in Prometheus text format.
-    pub fn prometheus(&self) -> String {
+    pub fn prometheus_text(&self) -> String {
         let mut text = String::new();
         for (key, histogram) in &self.times {
             let labels = format!("class=\"{}\",organisation=\"{}\"", key.class, key.organisation);
--- a/src/telemetry/trace_book.rs
+++ b/src/telemetry/span_buffer.rs
@@ -5,13 +5,13 @@
 
 /// The last spans of this host.
 #[derive(Debug, Default)]
-pub struct TraceBook {
+pub struct SpanBuffer {
     spans: VecDeque<SpanRecord>,
 }
 
-impl TraceBook {
+impl SpanBuffer {
     /// Keeps a span; the oldest goes when there are too many.
-    pub fn note(&mut self, span: SpanRecord) {
+    pub fn record(&mut self, span: SpanRecord) {
         if self.spans.len() >= MOST_SPANS {
             self.spans.pop_front();
         }
--- a/src/telemetry/trace_parent.rs
+++ b/src/telemetry/trace_parent.rs
@@ -11,7 +11,7 @@
 
 impl TraceParent {
     /// A new trace with random ids.
-    pub fn fresh() -> Self {
+    pub fn new_trace() -> Self {
         Self { trace: rand::random::<u128>() | 1, span: 0 }
     }
 
--- a/tests/gateway_stop.rs
+++ b/tests/gateway_stop.rs
@@ -66,11 +66,11 @@
         let site = TestSite::start(SitePlan::default()).await.expect("it starts");
         let host = &site.hosts[0].host;
         let mut newer = host.settings.clone();
-        newer.bounds.grace = Duration::from_secs(5);
+        newer.bounds.grace_period = Duration::from_secs(5);
         newer.domain = "b".to_owned();
-        assert_eq!(host.settings.fixed_changes(&newer), ["domain"]);
+        assert_eq!(host.settings.changes_needing_restart(&newer), ["domain"]);
         host.reload(&newer);
-        assert_eq!(host.state().bounds.grace, Duration::from_secs(5));
+        assert_eq!(host.state().bounds.grace_period, Duration::from_secs(5));
         assert!(host.is_ready());
     });
 }
