--- a/src/platform/answer_pace.rs
+++ b/src/platform/answer_pace.rs
@@ -1,38 +1,41 @@
 use crate::keys::TimePoint;
 use std::time::Duration;
 
-/// A link that carries less than this, a megabit a second, counts as stalled.
-const SLOWEST_BYTES_PER_S: f64 = 125_000.0;
-/// Longest pause between two pieces of an answer that has begun.
-const PIECE_PAUSE: Duration = Duration::from_millis(500);
+/// Minimum throughput, one megabit per second; a slower link counts as stalled.
+const MIN_BYTES_PER_S: f64 = 125_000.0;
+/// Longest gap between two chunks of an answer that has begun.
+const MAX_CHUNK_GAP: Duration = Duration::from_millis(500);
 
-/// How long an answer of the store is waited for. Others decide how long it is: a fixed time would end each try in the
-/// same place, for ever, where a link is small or a configuration large.
+/// Timeouts of one answer of the store. They grow with the bytes transferred, because the router does not control how
+/// large an answer is: on a slow link or with a large configuration, every retry would hit a fixed timeout at the same
+/// point.
 #[derive(Debug, Clone, Copy)]
 pub struct AnswerPace {
-    began: TimePoint,
+    sent_at: TimePoint,
     limit: Duration,
 }
 
 impl AnswerPace {
-    /// A question of `asked` bytes that leaves at `began`, whose answer begins within `limit` after it has arrived.
-    pub fn new(began: TimePoint, asked: usize, limit: Duration) -> Self {
-        Self { began, limit: limit + carry_time(asked) }
+    /// Creates the timeouts of a request of `request_bytes` that is sent at `sent_at`. The answer must begin within
+    /// `limit` after the request has arrived.
+    pub fn new(sent_at: TimePoint, request_bytes: usize, limit: Duration) -> Self {
+        Self { sent_at, limit: limit + transfer_time(request_bytes) }
     }
 
-    /// How long the answer's beginning is waited for.
+    /// Returns how long to wait for the beginning of the answer.
     pub fn first_byte_timeout(&self) -> Duration {
         self.limit
     }
 
-    /// How long the next piece is waited for when `received` bytes have come by `now`; zero if the call is given up.
+    /// Returns how long to wait for the next chunk when `received` bytes have arrived by `now`; zero if the call has
+    /// timed out.
     pub fn next_chunk_timeout(&self, now: TimePoint, received: usize) -> Duration {
-        let longest = self.began + self.limit + carry_time(received) + PIECE_PAUSE;
-        let in_time = (self.began + self.limit).since(now);
-        PIECE_PAUSE.max(in_time).min(longest.since(now))
+        let deadline = self.sent_at + self.limit + transfer_time(received) + MAX_CHUNK_GAP;
+        let initial_wait = (self.sent_at + self.limit).since(now);
+        MAX_CHUNK_GAP.max(initial_wait).min(deadline.since(now))
     }
 }
 
-fn carry_time(bytes: usize) -> Duration {
-    Duration::from_secs_f64(bytes as f64 / SLOWEST_BYTES_PER_S)
+fn transfer_time(bytes: usize) -> Duration {
+    Duration::from_secs_f64(bytes as f64 / MIN_BYTES_PER_S)
 }
--- a/src/platform/call_counts.rs
+++ b/src/platform/call_counts.rs
@@ -1,15 +1,15 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Kinds of calls of the platform's store.
+/// Kind of a call to the platform's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallKind {
-    /// One page of a listing.
+    /// Reads one page of a listing.
     Page,
-    /// One object.
+    /// Reads one object.
     Read,
-    /// Changes since a revision.
+    /// Waits for changes after a revision.
     Watch,
-    /// A conditional write.
+    /// Writes an object conditionally.
     Write,
 }
 
@@ -17,7 +17,7 @@
     /// All kinds.
     pub const ALL: [Self; 4] = [Self::Page, Self::Read, Self::Watch, Self::Write];
 
-    /// The name used in logs.
+    /// Returns the name used in logs.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Page => "pages",
@@ -28,12 +28,12 @@
     }
 }
 
-/// Calls of the store so far, those that failed included.
+/// Number of calls to the store by kind, including failed calls.
 #[derive(Debug, Default)]
 pub(super) struct CallCounts([AtomicU64; CallKind::ALL.len()]);
 
 impl CallCounts {
-    pub fn note(&self, kind: CallKind) {
+    pub fn record(&self, kind: CallKind) {
         self.0[kind as usize].fetch_add(1, Ordering::Relaxed);
     }
 
--- a/src/platform/config_wire.rs
+++ b/src/platform/config_wire.rs
@@ -32,9 +32,9 @@
     #[serde(default)]
     priority: f64,
     unit: Option<String>,
-    /// What a request without a stated size counts, where tokens are counted.
+    /// Tokens charged for a request that does not state its size, if the unit is tokens.
     plain_tokens: Option<u32>,
-    /// Units a second over all hosts; zero for no limit.
+    /// Units per second over all hosts; zero for no limit.
     #[serde(default)]
     rate_per_s: f64,
     #[serde(default)]
@@ -56,9 +56,9 @@
     #[serde(default)]
     priority: f64,
     timeout_ms: f64,
-    /// The objective; of a stream, that of its first event.
+    /// The latency objective; for a stream, the objective for its first event.
     slo_ms: f64,
-    /// The longest pause between two events of a stream.
+    /// The objective for the longest pause between two events of a stream.
     gap_aim_ms: Option<f64>,
     service: Option<String>,
     #[serde(default)]
@@ -66,7 +66,7 @@
     attempts: Option<u32>,
     #[serde(default)]
     can_resume: bool,
-    /// Callers need no key.
+    /// Whether callers need no key.
     #[serde(default)]
     public: bool,
 }
@@ -81,7 +81,7 @@
 struct WireService {
     name: String,
     max_conns: Option<u32>,
-    /// Requests a second that a server bears from all hosts together while it is cold; zero for no bound.
+    /// Requests per second that a cold server accepts from all hosts together; zero for no limit.
     #[serde(default)]
     cold_per_s: f64,
     engine: Option<WireEngine>,
@@ -91,7 +91,7 @@
 struct WireEngine {
     slots: u32,
     kv_tokens: u32,
-    /// Tokens in one event.
+    /// Tokens per event.
     stride: Option<u32>,
     handle_ttl_s: Option<f64>,
     role_switch_s: Option<f64>,
@@ -108,12 +108,12 @@
     idle_timeout_ms: Option<f64>,
 }
 
-/// Decodes a configuration as it lies in the store.
+/// Decodes a configuration object of the store.
 ///
-/// Callers' keys are hashed here; nothing beyond holds one.
+/// Hashes the callers' keys, so that no other part of the router holds a key in plain text.
 ///
 /// # Errors
-/// If a field is missing or of another type, or a limit is not one.
+/// If a field is missing or has the wrong type, or if a limit is invalid.
 pub fn decode_config(spec: &serde_json::Value, hasher: &KeyHasher) -> Result<RouteParts> {
     let wire = WireConfig::deserialize(spec)?;
     let routes = wire.routes.into_iter().map(|route| Route::try_from(route).map(Arc::new));
@@ -131,9 +131,9 @@
 }
 
 fn decode_tenant(wire: &WireTenant, hasher: &KeyHasher) -> Result<Organisation> {
-    // Servers are told the name in a header.
+    // The name is sent to servers in a header.
     if wire.name.is_empty() || HeaderValue::from_str(&wire.name).is_err() {
-        return Err(Error::Protocol(format!("{:?} is no name of an organisation", wire.name)));
+        return Err(Error::Protocol(format!("invalid organisation name {:?}", wire.name)));
     }
     let keys = wire.keys.iter().map(|key| hasher.digest(key)).collect();
     let priority = wire.priority as u8;
@@ -141,15 +141,15 @@
 }
 
 fn decode_limit(wire: &WireTenant) -> Result<Option<OrgLimit>> {
-    let wrong = |what: &str| Error::Protocol(format!("organisation {:?} has {what}", wire.name));
+    let invalid = |what: &str| Error::Protocol(format!("organisation {:?} has {what}", wire.name));
     let (rate, burst) = (wire.rate_per_s, wire.burst);
     if !(rate.is_finite() && burst.is_finite() && rate >= 0.0 && burst >= 0.0) {
-        return Err(wrong("a limit that is no positive number"));
+        return Err(invalid("a limit that is not a finite non-negative number"));
     }
     let unit = match wire.unit.as_deref() {
         None => LimitUnit::Requests,
         Some(TOKEN_UNIT) => LimitUnit::Tokens { plain: wire.plain_tokens.unwrap_or_default() },
-        Some(other) => return Err(wrong(&format!("the unknown unit {other:?}"))),
+        Some(other) => return Err(invalid(&format!("the unknown unit {other:?}"))),
     };
     Ok((rate > 0.0).then_some(OrgLimit { rate, burst, unit }))
 }
@@ -175,7 +175,7 @@
             host: wire.host,
             path_prefix: wire.path_prefix,
             kind: decode_kind(&wire.kind),
-            // Beyond its range it saturates: nothing is more urgent than zero.
+            // The cast saturates: a negative priority becomes zero, the most urgent one.
             priority: wire.priority as u8,
             time_limit: millis(wire.timeout_ms),
             objective: millis(wire.slo_ms),
@@ -190,9 +190,9 @@
 
 impl From<&WireTarget> for RouteTarget {
     fn from(wire: &WireTarget) -> Self {
-        /// Weights may be fractions; hundredths keep them whole.
-        const PARTS: f64 = 100.0;
-        Self { service: ServiceKey::of(&wire.service), weight: (wire.weight * PARTS) as u32 }
+        /// Weights may be fractions; they are stored as integers in hundredths.
+        const WEIGHT_SCALE: f64 = 100.0;
+        Self { service: ServiceKey::of(&wire.service), weight: (wire.weight * WEIGHT_SCALE) as u32 }
     }
 }
 
@@ -225,17 +225,17 @@
 
 impl From<WireLimits> for RequestLimits {
     fn from(wire: WireLimits) -> Self {
-        let usual = Self::default();
+        let defaults = Self::default();
         Self {
-            head_bytes: wire.max_header_bytes.unwrap_or(usual.head_bytes),
-            body_bytes: wire.max_body_bytes.unwrap_or(usual.body_bytes),
-            head_time: wire.header_timeout_ms.map_or(usual.head_time, millis),
-            idle_time: wire.idle_timeout_ms.map_or(usual.idle_time, millis),
+            head_bytes: wire.max_header_bytes.unwrap_or(defaults.head_bytes),
+            body_bytes: wire.max_body_bytes.unwrap_or(defaults.body_bytes),
+            head_time: wire.header_timeout_ms.map_or(defaults.head_time, millis),
+            idle_time: wire.idle_timeout_ms.map_or(defaults.idle_time, millis),
         }
     }
 }
 
-/// A kind that is not known is treated as one whose requests must not be repeated.
+/// Decodes the kind of a route. Requests of an unknown kind must not be retried, so it counts as unsafe.
 fn decode_kind(kind: &str) -> RouteKind {
     match kind {
         "safe" => RouteKind::Safe,
--- a/src/platform/crash_wire.rs
+++ b/src/platform/crash_wire.rs
@@ -1,4 +1,4 @@
-//! The crashes of servers, as an object of a kind of the project's own.
+//! Encodes and decodes the object that records server crashes.
 
 use crate::Result;
 use crate::keys::{NameKey, RequestKey};
@@ -12,15 +12,15 @@
 
 #[derive(Debug, Serialize, Deserialize)]
 struct WireCrash {
-    /// Hexadecimal: numbers of JSON hold 53 bits.
+    /// Hexadecimal key, because JSON numbers hold only 53 bits.
     server: String,
-    /// Unix millisecond of the crash, by the clock of the host that wrote it.
+    /// Unix time of the crash in milliseconds, by the clock of the host that wrote the record.
     at_ms: u64,
-    /// Unix millisecond at which one of the requests last came.
+    /// Unix time in milliseconds at which one of the requests last arrived.
     idle_since_ms: u64,
-    /// Hexadecimal keys.
+    /// Hexadecimal keys of the requests that were in flight.
     requests: Vec<String>,
-    /// For how many milliseconds each of them had been there; none in copies of earlier versions.
+    /// How long each request had been in flight, in milliseconds; missing in objects written by earlier versions.
     #[serde(default)]
     ran_ms: Vec<u32>,
 }
@@ -30,10 +30,10 @@
     crashes: Vec<WireCrash>,
 }
 
-/// Decodes the crashes; `now` is the time of day, which tells how old they are.
+/// Decodes the crashes. `now` is the time of day, from which their ages are computed.
 ///
 /// # Errors
-/// If a field is missing or of another type.
+/// If a field is missing or has the wrong type.
 pub fn decode_crashes(spec: &Value, now: SystemTime) -> Result<Vec<CrashUpdate>> {
     let wire = WireCrashes::deserialize(spec)?;
     let now = unix_millis(now);
@@ -41,11 +41,11 @@
 }
 
 fn decode_crash(wire: &WireCrash, now: u64) -> Result<CrashUpdate> {
-    let times = wire.ran_ms.iter().copied().chain(std::iter::repeat(0));
+    let durations = wire.ran_ms.iter().copied().chain(std::iter::repeat(0));
     let requests: Result<Vec<InterruptedRequest>> = wire
         .requests
         .iter()
-        .zip(times)
+        .zip(durations)
         .map(|(key, ran_ms)| Ok(InterruptedRequest { request: RequestKey(read_key(key)?), ran_ms }))
         .collect();
     Ok(CrashUpdate {
@@ -56,17 +56,21 @@
     })
 }
 
-/// Encodes crashes at the time of day `now`.
+/// Encodes the crashes, with their times computed from the time of day `now`.
 pub fn encode_crashes(crashes: &[CrashUpdate], now: SystemTime) -> Value {
     let now = unix_millis(now);
     let wire: Vec<WireCrash> = crashes
         .iter()
-        .map(|news| WireCrash {
-            server: format!("{:016x}", news.server.0),
-            at_ms: now.saturating_sub(news.age_ms.into()),
-            idle_since_ms: now.saturating_sub(news.idle_ms.into()),
-            requests: news.requests.iter().map(|broken| broken.request.to_string()).collect(),
-            ran_ms: news.requests.iter().map(|broken| broken.ran_ms).collect(),
+        .map(|update| WireCrash {
+            server: format!("{:016x}", update.server.0),
+            at_ms: now.saturating_sub(update.age_ms.into()),
+            idle_since_ms: now.saturating_sub(update.idle_ms.into()),
+            requests: update
+                .requests
+                .iter()
+                .map(|interrupted| interrupted.request.to_string())
+                .collect(),
+            ran_ms: update.requests.iter().map(|interrupted| interrupted.ran_ms).collect(),
         })
         .collect();
     json!({"crashes": wire})
@@ -74,15 +78,15 @@
 
 fn read_key(text: &str) -> Result<u64> {
     u64::from_str_radix(text, 16)
-        .map_err(|error| crate::Error::Protocol(format!("key {text:?}: {error}")))
+        .map_err(|error| crate::Error::Protocol(format!("invalid key {text:?}: {error}")))
 }
 
-/// A clock that was put back makes nothing younger than now.
+/// Returns the milliseconds from `at` to `now`; zero if the clock was set back in between.
 fn age(now: u64, at: u64) -> u32 {
     u32::try_from(now.saturating_sub(at)).unwrap_or(u32::MAX)
 }
 
 fn unix_millis(time: SystemTime) -> u64 {
-    let since = time.duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    let elapsed = time.duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
+    u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
 }
--- a/src/platform/engine_messages.rs
+++ b/src/platform/engine_messages.rs
@@ -13,10 +13,10 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Result of a prefill that lies in a server's memory.
+/// The result of a prefill, held in a server's memory.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct PrefillResult {
-    /// Its name at the server.
+    /// Handle of the result at the server.
     #[serde(rename = "kv_handle")]
     pub handle: String,
 }
@@ -24,33 +24,34 @@
 /// A slot and memory that an engine holds for a request.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct HoldGrant {
-    /// Its name at the engine.
+    /// Id of the hold at the engine.
     pub hold: String,
 }
 
-/// An engine's load, some hundred milliseconds old.
+/// An engine's load, a few hundred milliseconds old.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineReport {
-    /// Unix millisecond at which this life of it began; engines of older platforms do not say.
+    /// Unix time in milliseconds at which this incarnation of the engine started; missing on older platforms.
     pub started_at: Option<u64>,
-    /// Its stage.
+    /// The engine's stage; `None` if the stage is unknown to the router.
     pub stage: Option<ServerStage>,
-    /// It carries out an order.
+    /// Whether the engine is carrying out an order.
     pub busy: bool,
-    /// Orders that it has taken since its start.
+    /// Orders that the engine has accepted since its start.
     pub orders_taken: u64,
-    /// Requests that wait.
+    /// Number of requests that wait.
     pub waiting: u32,
-    /// Requests that run.
+    /// Number of requests that run.
     pub running: u32,
-    /// Tokens in memory that cannot give way.
+    /// Tokens in memory that cannot be evicted.
     pub tokens_used: u32,
 }
 
 #[derive(Debug, Deserialize)]
 struct WireReport {
     born: Option<u64>,
-    /// Without this and the next two an answer is no report, but a late copy of another one.
+    /// This field and the next two are required: an answer without them is not a report, but a late copy of an answer
+    /// to another call.
     stage: String,
     busy: bool,
     seq: u64,
@@ -67,31 +68,31 @@
 pub struct StageOrder<'a> {
     /// The stage to change to.
     pub stage: ServerStage,
-    /// Who orders.
+    /// The host that gives the order.
     pub holder: &'a str,
-    /// Rises with each holder of the lease.
+    /// Fencing token; it rises with each new holder of the lease.
     pub fence: u64,
-    /// Orders that the engine must have taken before.
+    /// Orders that the engine must have accepted before this one.
     pub orders_taken: u64,
 }
 
-/// Asks an engine for a slot and memory.
-pub fn hold_call(server: &ServerEntry, tokens: u32, life: Duration) -> Request<Full<Bytes>> {
-    let ttl = u64::try_from(life.as_millis()).unwrap_or(u64::MAX);
+/// Builds the call that asks an engine to hold a slot and memory for at most `ttl`.
+pub fn hold_call(server: &ServerEntry, tokens: u32, ttl: Duration) -> Request<Full<Bytes>> {
+    let ttl = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
     post(server, names::HOLD_PATH, &json!({"tokens": tokens, "ttl_ms": ttl}))
 }
 
-/// Gives a hold back.
+/// Builds the call that releases a hold.
 pub fn hold_drop_call(server: &ServerEntry, hold: &str) -> Request<Full<Bytes>> {
     delete(server, &format!("{}{hold}", names::HOLD_DROP_PATH))
 }
 
-/// Frees a prefill result.
+/// Builds the call that frees a prefill result.
 pub fn handle_drop_call(server: &ServerEntry, handle: &str) -> Request<Full<Bytes>> {
     delete(server, &format!("{}{handle}", names::HANDLE_PATH))
 }
 
-/// Orders an engine to change its stage.
+/// Builds the call that orders an engine to change its stage.
 pub fn stage_call(server: &ServerEntry, order: &StageOrder<'_>) -> Request<Full<Bytes>> {
     let body = json!({
         "op": "stage",
@@ -103,7 +104,7 @@
     post(server, names::ORDER_PATH, &body)
 }
 
-/// Asks an engine for its load.
+/// Builds the call that asks an engine for its load.
 pub fn report_call(server: &ServerEntry) -> Request<Full<Bytes>> {
     request(server, Method::GET, names::REPORT_PATH, Bytes::new())
 }
@@ -111,7 +112,7 @@
 /// Decodes an engine's load.
 ///
 /// # Errors
-/// If the body is no report.
+/// If the body is not a report.
 pub fn decode_report(body: &[u8]) -> Result<EngineReport> {
     let wire: WireReport = serde_json::from_slice(body)?;
     Ok(EngineReport {
@@ -128,7 +129,7 @@
 /// Decodes a JSON body.
 ///
 /// # Errors
-/// If the body has another shape.
+/// If the body does not have the fields of `T`.
 pub fn decode_body<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T> {
     serde_json::from_slice(body).map_err(Error::from)
 }
--- a/src/platform/json_parts.rs
+++ b/src/platform/json_parts.rs
@@ -1,21 +1,21 @@
-//! Cuts a JSON text into its parts without reading them, so that one part that cannot be read does not
-//! lose the others.
+//! Splits a JSON text into its parts without decoding them, so that one malformed part does not make the others
+//! unreadable.
 
 use crate::{Error, Result};
 
-/// Name and value of each member of an object. Members whose names cannot be read are left out.
+/// Returns the name and the value of each member of an object. Skips members whose names cannot be decoded.
 ///
 /// # Errors
-/// If the text is no object with closed brackets.
+/// If the text is not an object with balanced brackets.
 pub(super) fn split_object(text: &[u8]) -> Result<Vec<(String, &[u8])>> {
     let parts = split_parts(text, b'{', b'}')?;
     Ok(parts.into_iter().filter_map(split_member).collect())
 }
 
-/// The elements of an array.
+/// Returns the elements of an array.
 ///
 /// # Errors
-/// If the text is no array with closed brackets.
+/// If the text is not an array with balanced brackets.
 pub(super) fn split_array(text: &[u8]) -> Result<Vec<&[u8]>> {
     split_parts(text, b'[', b']')
 }
@@ -23,21 +23,21 @@
 fn split_parts(text: &[u8], open: u8, close: u8) -> Result<Vec<&[u8]>> {
     let text = text.trim_ascii();
     let inner = text.strip_prefix(&[open]).and_then(|rest| rest.strip_suffix(&[close]));
-    let inner = inner.ok_or_else(|| not_closed(open))?;
+    let inner = inner.ok_or_else(|| unbalanced(open))?;
     let mut parts = Vec::new();
-    let mut scan = PartScan::default();
+    let mut scanner = PartScanner::default();
     let mut start = 0;
-    for (place, byte) in inner.iter().enumerate() {
-        if scan.ends_part(*byte) {
-            parts.push(inner[start..place].trim_ascii());
-            start = place + 1;
+    for (offset, byte) in inner.iter().enumerate() {
+        if scanner.advance(*byte) {
+            parts.push(inner[start..offset].trim_ascii());
+            start = offset + 1;
         }
-        if scan.depth < 0 {
-            return Err(not_closed(open));
+        if scanner.depth < 0 {
+            return Err(unbalanced(open));
         }
     }
-    if scan.depth != 0 || scan.in_text {
-        return Err(not_closed(open));
+    if scanner.depth != 0 || scanner.in_string {
+        return Err(unbalanced(open));
     }
     let last = inner[start..].trim_ascii();
     if !(parts.is_empty() && last.is_empty()) {
@@ -47,43 +47,46 @@
 }
 
 fn split_member(part: &[u8]) -> Option<(String, &[u8])> {
-    let mut scan = PartScan::default();
+    let mut scanner = PartScanner::default();
     let colon = part.iter().position(|byte| {
-        let is_plain = scan.is_plain();
-        scan.ends_part(*byte);
-        is_plain && *byte == b':'
+        let is_top_level = scanner.is_top_level();
+        scanner.advance(*byte);
+        is_top_level && *byte == b':'
     })?;
     let name = serde_json::from_slice(&part[..colon]).ok()?;
     Some((name, part[colon + 1..].trim_ascii()))
 }
 
-fn not_closed(open: u8) -> Error {
-    Error::Protocol(format!("no JSON that begins with {:?} and is closed", char::from(open)))
+fn unbalanced(open: u8) -> Error {
+    Error::Protocol(format!(
+        "expected JSON that begins with {:?} and is balanced",
+        char::from(open)
+    ))
 }
 
-/// Where in a JSON text a byte stands.
+/// Scanner state within a JSON text.
 #[derive(Debug, Default)]
-struct PartScan {
-    /// Brackets that are open.
+struct PartScanner {
+    /// Number of open brackets.
     depth: i64,
-    in_text: bool,
-    /// The byte before was a backslash that stands for itself.
+    in_string: bool,
+    /// Whether the previous byte was a backslash that escapes the next byte.
     is_escaped: bool,
 }
 
-impl PartScan {
-    fn is_plain(&self) -> bool {
-        self.depth == 0 && !self.in_text
+impl PartScanner {
+    fn is_top_level(&self) -> bool {
+        self.depth == 0 && !self.in_string
     }
 
-    /// Moves over a byte; true if it is a comma between two parts.
-    fn ends_part(&mut self, byte: u8) -> bool {
-        if self.in_text {
-            self.move_in_text(byte);
+    /// Advances over a byte; returns true if it is a comma between two parts.
+    fn advance(&mut self, byte: u8) -> bool {
+        if self.in_string {
+            self.advance_in_string(byte);
             return false;
         }
         match byte {
-            b'"' => self.in_text = true,
+            b'"' => self.in_string = true,
             b'{' | b'[' => self.depth += 1,
             b'}' | b']' => self.depth -= 1,
             _ => {}
@@ -91,14 +94,14 @@
         byte == b',' && self.depth == 0
     }
 
-    fn move_in_text(&mut self, byte: u8) {
+    fn advance_in_string(&mut self, byte: u8) {
         if self.is_escaped {
             self.is_escaped = false;
             return;
         }
         match byte {
             b'\\' => self.is_escaped = true,
-            b'"' => self.in_text = false,
+            b'"' => self.in_string = false,
             _ => {}
         }
     }
--- a/src/platform/lease_wire.rs
+++ b/src/platform/lease_wire.rs
@@ -1,11 +1,11 @@
-//! The lease on orders, as an object of a kind of the project's own.
+//! Encodes and decodes the lease that a host needs to order stage changes.
 
 use crate::Result;
 use crate::orders::LeaseRecord;
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-/// Kind and name of the lease on stage orders.
+/// Kind and name of the lease object.
 pub const LEASE_OBJECT: (&str, &str) = ("tealcleat-leases", "stage-orders");
 
 #[derive(Debug, Deserialize)]
@@ -17,7 +17,7 @@
 /// Decodes the lease.
 ///
 /// # Errors
-/// If a field is missing or of another type.
+/// If a field is missing or has the wrong type.
 pub fn decode_lease(spec: &Value) -> Result<LeaseRecord> {
     let wire = WireLease::deserialize(spec)?;
     Ok(LeaseRecord { holder: wire.holder, fence: wire.fence })
--- a/src/platform/limit_wire.rs
+++ b/src/platform/limit_wire.rs
@@ -1,21 +1,21 @@
-//! Reads the limits that backend servers name in their answers.
+//! Reads the limits that backend servers state in their answers.
 
 use super::names;
 use crate::server_limits::ServerLimit;
 use http::HeaderMap;
 
-/// What an answer says of its server's limit.
+/// The limit of its server that an answer states.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LimitHeader {
-    /// Nothing.
+    /// The answer states no limit.
     Absent,
-    /// This is its limit; the lowest, if several are named.
+    /// The stated limit; the lowest one if the answer states several.
     Valid(ServerLimit),
-    /// Something that is no limit.
+    /// A header value that is not a limit.
     Malformed(String),
 }
 
-/// Reads the limit that an answer names which is known to belong to the request.
+/// Reads the limit from the headers of an answer. The answer must be known to belong to the request.
 pub fn read_limit(headers: &HeaderMap) -> LimitHeader {
     let mut lowest = LimitHeader::Absent;
     for value in headers.get_all(names::SERVER_LIMIT) {
@@ -24,7 +24,7 @@
             return LimitHeader::Malformed(text.into_owned());
         };
         lowest = match lowest {
-            LimitHeader::Valid(known) if known <= limit => LimitHeader::Valid(known),
+            LimitHeader::Valid(previous) if previous <= limit => LimitHeader::Valid(previous),
             _ => LimitHeader::Valid(limit),
         };
     }
--- a/src/platform/list_pager.rs
+++ b/src/platform/list_pager.rs
@@ -1,22 +1,22 @@
-//! Puts the pages of a listing together.
+//! Assembles a listing from its pages.
 
 use super::store_object::ObjectList;
 use super::store_wire::ListPage;
 use std::collections::HashSet;
 
-/// A listing under way.
+/// A listing in progress.
 #[derive(Debug)]
 pub(super) struct ListPager {
     list: ObjectList,
-    /// The next page begins behind this name.
+    /// The next page begins after this name.
     after: String,
-    /// All names behind which a page began.
-    passed: HashSet<String>,
+    /// All names that were used as the start of a page.
+    start_names: HashSet<String>,
     is_first: bool,
 }
 
 impl ListPager {
-    /// A listing of which nothing was read yet.
+    /// Starts a listing, before its first page is read.
     pub fn new() -> Self {
         let list = ObjectList {
             items: Vec::new(),
@@ -24,38 +24,38 @@
             is_complete: false,
             revision: u64::MAX,
         };
-        Self { list, after: String::new(), passed: HashSet::new(), is_first: true }
+        Self { list, after: String::new(), start_names: HashSet::new(), is_first: true }
     }
 
-    /// Whether no page was read yet.
+    /// Whether the next page is the first one.
     pub fn is_first(&self) -> bool {
         self.is_first
     }
 
-    /// The name behind which the next page begins, as it stands in a query.
+    /// Returns the name after which the next page begins, encoded for a query.
     pub fn after(&self) -> String {
-        query_text(&self.after)
+        percent_encode(&self.after)
     }
 
-    /// Whether a page holds what was read before: it may be the copy of an earlier one.
-    pub fn has_read(&self, page: &ListPage) -> bool {
+    /// Whether the first object of a page was already listed: the page may be a copy of an earlier one.
+    pub fn repeats(&self, page: &ListPage) -> bool {
         let name = page.items.first().map(|object| &object.name);
         name.is_some_and(|name| self.list.items.iter().any(|object| object.name == *name))
     }
 
-    /// Takes a page over; true if a further one is to be read.
+    /// Adds a page; returns true if another page must be read.
     ///
-    /// The next page begins behind the last name that can be read: items without one that stand behind
-    /// it come again. A page without any name, or whose last name has led to a page before, would come
-    /// again for ever, and ends the listing.
-    pub fn take(&mut self, page: ListPage) -> bool {
+    /// The next page begins after the last readable name, so items without a readable name that follow it are listed
+    /// again. A page without any readable name, or whose last name was already used as the start of a page, ends the
+    /// listing, because it would be returned over and over.
+    pub fn add(&mut self, page: ListPage) -> bool {
         self.is_first = false;
         self.list.revision = self.list.revision.min(page.revision);
         self.list.items.extend(page.items);
         self.list.unreadable.extend(page.unreadable);
         self.list.is_complete = !page.more;
         match page.last_name {
-            Some(name) if page.more && self.passed.insert(name.clone()) => {
+            Some(name) if page.more && self.start_names.insert(name.clone()) => {
                 self.after = name;
                 true
             }
@@ -63,14 +63,14 @@
         }
     }
 
-    /// What the pages held.
+    /// Returns the assembled listing.
     pub fn into_list(self) -> ObjectList {
         self.list
     }
 }
 
-/// A text in which all bytes that may have a meaning in a query are percent-encoded.
-fn query_text(text: &str) -> String {
+/// Percent-encodes all bytes that may have a special meaning in a query.
+fn percent_encode(text: &str) -> String {
     let mut encoded = String::with_capacity(text.len());
     for byte in text.bytes() {
         match byte {
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! Platform is the edge to the users' platform: it translates names, formats and calls into the
-//! project's types and back, and decides nothing.
+//! Adapter for the users' platform: translates between the platform's names, formats and calls and the types of this
+//! crate. It makes no decisions.
 
 mod answer_pace;
 mod call_counts;
@@ -38,7 +38,7 @@
 pub use store_client::StoreClient;
 pub use store_object::{MAX_OBJECT_BYTES, ObjectList, StoreEvent, StoreObject, UnreadableObject};
 
-/// Kind and name of the configuration that intents of the project's own interface make.
+/// Kind and name of the configuration object that is derived from intents of the project's own interface.
 pub const INTENT_OBJECT: (&str, &str) = ("tealcleat-config", "main");
 
 /// Kind of the claim buckets of the project's own interface.
@@ -47,7 +47,7 @@
 /// Kind and name of the operator's configuration.
 pub const ROUTES_OBJECT: (&str, &str) = ("config", "main");
 
-/// Name of a claim bucket's object.
+/// Returns the name of a claim bucket's object.
 pub fn bucket_name(bucket: u64) -> String {
     format!("bucket-{bucket}")
 }
--- a/src/platform/names.rs
+++ b/src/platform/names.rs
@@ -1,41 +1,41 @@
-//! The platform's spellings of headers and paths.
+//! Names of the platform's headers and paths.
 
-/// Names a request; every answer to one carries it back. Answers to the router's own calls have none,
-/// also where the call had.
+/// Id of a request; every answer to a caller's request repeats it. Answers to the router's own calls have no id, even
+/// if the call had one.
 pub const REQUEST_ID: &str = "x-request-id";
-/// Milliseconds that the sender will still wait.
+/// Remaining milliseconds that the sender waits for the answer.
 pub const DEADLINE: &str = "x-deadline-ms";
-/// Tokens of the prompt and the most that the answer may have, separated by a comma.
+/// Number of prompt tokens and maximum number of answer tokens, separated by a comma.
 pub const TOKEN_COUNT: &str = "x-token-count";
-/// The caller's estimate of the answer's tokens.
+/// The caller's estimate of the number of answer tokens.
 pub const LENGTH_HINT: &str = "length-hint";
-/// Number of the last event that the caller or a previous run had.
+/// Number of the last event that the caller or a previous run received.
 pub const LAST_EVENT: &str = "last-event-id";
-/// Id of the only server life that may run the request.
+/// Id of the only server incarnation that may run the request.
 pub const EXPECT_INSTANCE: &str = "x-expect-instance";
-/// Signature of a backend server on its whole answer.
+/// Signature of a backend server over its whole answer.
 pub const STAMP: &str = "x-server-stamp";
-/// On a backend server's refusal: the request did not run there.
+/// Set by a backend server that rejects a request without running it.
 pub const NOT_RUN: &str = "x-not-run";
-/// In a backend server's answer: the requests a second that it takes from all hosts together.
+/// Set in a backend server's answer: the requests per second that it accepts from all hosts together.
 pub const SERVER_LIMIT: &str = "server-limit";
-/// Asks for one stage of a request only; always set by the router.
+/// Asks for a single stage of a request; only the router sets it.
 pub const STAGE: &str = "x-stage";
-/// Where the memory of a prefilled or backed-up request is fetched from.
+/// Where to fetch the KV cache of a prefilled or backed-up request from.
 pub const KV_FROM: &str = "kv-from";
 /// Id of a held slot that the request uses.
 pub const HOLD: &str = "hold";
-/// Server that receives copies of the request's memory as it grows.
+/// Server that receives copies of the request's KV cache as it grows.
 pub const KV_BACKUP: &str = "kv-backup";
 
 /// Carries a caller's key, after [`KEY_SCHEME`].
 pub const AUTHORIZATION: &str = "authorization";
-/// What stands before a caller's key.
+/// Prefix of a caller's key in [`AUTHORIZATION`].
 pub const KEY_SCHEME: &str = "Token ";
-/// Name of the organisation that a request runs for; always set by the router.
+/// Name of the organisation that a request runs for; only the router sets it.
 pub const TENANT: &str = "x-tenant";
 
-/// Headers that only the router may set towards a backend server, or that are meant for it alone.
+/// Headers that are not passed on to a backend server: only the router may set them, or they are meant for the router.
 pub const ROUTER_ONLY: [&str; 14] = [
     AUTHORIZATION,
     TENANT,
@@ -53,7 +53,7 @@
     STAMP,
 ];
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which concern a single connection.
 pub const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -65,17 +65,17 @@
     "content-length",
 ];
 
-/// Path of the readiness question.
+/// Path of the readiness check.
 pub const READY_PATH: &str = "/tealcleat/ready";
-/// Path of the store's objects; a kind follows.
+/// Path prefix of the store's objects, followed by a kind.
 pub const OBJECTS_PATH: &str = "/tealcleat/objects/";
 /// Path at which a server grants holds.
 pub const HOLD_PATH: &str = "/tealcleat/hold-take";
-/// Path at which a server gives up a hold; its id follows.
+/// Path prefix at which a server releases a hold, followed by the id of the hold.
 pub const HOLD_DROP_PATH: &str = "/tealcleat/hold-drop/";
-/// Path at which a server frees a prefill result; its id follows.
+/// Path prefix at which a server frees a prefill result, followed by its handle.
 pub const HANDLE_PATH: &str = "/tealcleat/kv-handle/";
-/// Path at which a server takes orders.
+/// Path at which a server accepts orders.
 pub const ORDER_PATH: &str = "/tealcleat/order";
 /// Path of a server's load report.
 pub const REPORT_PATH: &str = "/tealcleat/report";
--- a/src/platform/store_client.rs
+++ b/src/platform/store_client.rs
@@ -61,7 +61,7 @@
         };
         loop {
             let target = format!("{kind}?{stale}after={}", walk.after());
-            self.calls.note(CallKind::Page);
+            self.calls.record(CallKind::Page);
             let page = if walk.is_first() {
                 let (status, body) = self.get(&target, limit).await?;
                 check_status(status)?;
@@ -69,7 +69,7 @@
             } else {
                 self.further_page(&pages, &target, &walk, limit).await?
             };
-            if !walk.take(page) {
+            if !walk.add(page) {
                 return Ok(walk.into_list());
             }
         }
@@ -94,12 +94,12 @@
                 Ok(Some(page)) => return Ok(page),
                 Ok(None) => {
                     tokio::time::sleep(pause).await;
-                    self.calls.note(CallKind::Page);
+                    self.calls.record(CallKind::Page);
                     pause *= 2;
                 }
                 Err(Error::Protocol(cause)) if is_shared => {
                     log::info!("event=store_page_repeated cause=\"{cause}\"");
-                    self.calls.note(CallKind::Page);
+                    self.calls.record(CallKind::Page);
                     proof = AnswerProof::OwnConnection;
                 }
                 Err(error) => return Err(error),
@@ -118,7 +118,7 @@
         name: &str,
         limit: Duration,
     ) -> Result<Option<StoreObject>> {
-        self.calls.note(CallKind::Read);
+        self.calls.record(CallKind::Read);
         let (status, body) = self.get(&format!("{kind}/{name}"), limit).await?;
         if status == StatusCode::NOT_FOUND {
             return Ok(None);
@@ -136,7 +136,7 @@
         let WatchLimits { wait, slack, max_bytes } = plan;
         let target = format!("{kind}?watch={revision}&wait_ms={}", wait.as_millis());
         let limit = CallLimit { time: wait + slack, bytes: max_bytes };
-        self.calls.note(CallKind::Watch);
+        self.calls.record(CallKind::Watch);
         let (status, body) = match self.get(&target, limit).await {
             Err(Error::TooLong { .. }) => return Ok(WatchAnswer::TooLong),
             answered => answered?,
@@ -167,7 +167,7 @@
             Some(_) => (Method::PUT, format!("{kind}/{name}")),
             None => (Method::POST, kind.to_owned()),
         };
-        self.calls.note(CallKind::Write);
+        self.calls.record(CallKind::Write);
         match self.call_once(method, &target, Bytes::from(body), limit).await {
             Ok((status, body)) => read_write(status, &body),
             Err(Error::NotSent(_)) => WriteOutcome::Refused,
@@ -266,7 +266,7 @@
     }
     check_status(status)?;
     let page = decode_page(body)?;
-    if is_shared && walk.has_read(&page) {
+    if is_shared && walk.repeats(&page) {
         return Err(Error::Protocol("a page that was read before".to_owned()));
     }
     Ok(Some(page))
--- a/tests/organisations.rs
+++ b/tests/organisations.rs
@@ -94,10 +94,10 @@
 
 #[rstest]
 #[case::unit("unit", serde_json::json!("bushels"), "the unknown unit \"bushels\"")]
-#[case::rate("rate_per_s", serde_json::json!(-1), "a limit that is no positive number")]
-#[case::burst("burst", serde_json::json!(-0.5), "a limit that is no positive number")]
-#[case::name("name", serde_json::json!(""), "is no name of an organisation")]
-#[case::header("name", serde_json::json!("a\nb"), "is no name of an organisation")]
+#[case::rate("rate_per_s", serde_json::json!(-1), "a limit that is not a finite non-negative number")]
+#[case::burst("burst", serde_json::json!(-0.5), "a limit that is not a finite non-negative number")]
+#[case::name("name", serde_json::json!(""), "invalid organisation name")]
+#[case::header("name", serde_json::json!("a\nb"), "invalid organisation name")]
 fn decode_config_rejects(
     #[case] field: &str,
     #[case] value: serde_json::Value,
