--- a/src/engines/pooled_body.rs
+++ b/src/engines/pooled_body.rs
@@ -64,7 +64,7 @@
     /// # Errors
     /// [`Error::TooLong`] and [`Error::Timeout`] if it is longer, or a piece does not come; any other if the
     /// connection breaks first, or `read` fails.
-    pub async fn read_with_timeouts<T>(
+    pub async fn read_limited<T>(
         mut self,
         longest: usize,
         patience: impl Fn(usize) -> Duration,
--- a/src/platform/request_wire.rs
+++ b/src/platform/request_wire.rs
@@ -1,4 +1,4 @@
-//! Decodes the heads of callers' requests and encodes the heads that backend servers get.
+//! Decodes the heads of callers' requests and encodes the heads of requests to backend servers.
 
 use super::names;
 use crate::fleet::ServerEntry;
@@ -11,61 +11,61 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Size of a generation, as its caller states it.
+/// Size of a generation, as stated by its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TokenCounts {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt: u32,
-    /// Most tokens of the answer.
+    /// Maximum number of answer tokens.
     pub max_output: u32,
-    /// The caller's estimate of the answer's tokens; right in the median only.
+    /// The caller's estimate of the number of answer tokens; accurate only in the median.
     pub output_hint: Option<u32>,
 }
 
 impl TokenCounts {
-    /// The most tokens that the request may take, if it states its size.
+    /// Returns the maximum number of tokens that the request occupies, if it states its size.
     pub fn stated_size(&self) -> Option<u32> {
         let size = self.prompt.saturating_add(self.max_output);
         (size > 0).then_some(size)
     }
 }
 
-/// What the head of a caller's request says to the router.
+/// The parts of a request's head that the router reads.
 #[derive(Debug, Clone)]
 pub struct CallHead {
-    /// Id of this attempt of the caller.
+    /// Request id of this attempt by the caller.
     pub request_id: String,
-    /// Host name that the caller asked for.
+    /// Host name in the request.
     pub host: String,
-    /// How long the caller will wait.
+    /// How long the caller waits for the answer.
     pub deadline: Option<Duration>,
     /// Size of the generation; zero for other requests.
     pub tokens: TokenCounts,
-    /// Number of the last event that the caller already has.
+    /// Number of the last event that the caller has received.
     pub last_event: Option<u64>,
     /// The caller's key.
     pub caller_key: Option<KeyDigest>,
 }
 
-/// Which part of a request a backend server is asked for.
+/// Which part of a request a backend server is asked to run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallPart<'a> {
-    /// All of it.
+    /// The whole request.
     Whole,
-    /// Only reading the prompt.
+    /// Only the prefill.
     Prefill,
-    /// Making tokens.
+    /// Only the decode.
     Decode(DecodePart<'a>),
 }
 
-/// What a decode server needs to know besides the request.
+/// What a decode server needs in addition to the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DecodePart<'a> {
-    /// Where the prompt was read, and the name of the result there.
+    /// Address of the prefill server, and the handle of the prefill result there.
     pub source: Option<(SocketAddr, &'a str)>,
-    /// The hold to use up.
+    /// The hold that the request uses.
     pub hold: Option<&'a str>,
-    /// Continue after this event.
+    /// Number of the event after which the stream continues.
     pub after_event: Option<u64>,
 }
 
@@ -79,7 +79,7 @@
 }
 
 impl CallHead {
-    /// Reads a head; fields that are missing or malformed are left out.
+    /// Reads a head. Missing and malformed fields are treated as absent.
     pub fn read(headers: &HeaderMap, uri: &Uri, hasher: &KeyHasher) -> Self {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         let number = |name: &str| text(name).and_then(|value| value.trim().parse::<f64>().ok());
@@ -89,7 +89,7 @@
             host: host.to_owned(),
             deadline: number(names::DEADLINE)
                 .filter(|value| value.is_finite() && *value >= 0.0)
-                .map(|value| Duration::from_secs_f64(value.min(MOST_MILLIS) / 1000.0)),
+                .map(|value| Duration::from_secs_f64(value.min(MAX_DEADLINE_MS) / 1000.0)),
             tokens: read_tokens(text(names::TOKEN_COUNT), number(names::LENGTH_HINT)),
             last_event: text(names::LAST_EVENT).and_then(|value| value.trim().parse().ok()),
             caller_key: read_key(headers, hasher),
@@ -97,7 +97,8 @@
     }
 }
 
-/// A caller's key. Of a request with several nobody can tell whose it is: it counts as one with none.
+/// Reads and hashes the caller's key. A request with several keys cannot be attributed to an organisation, so it counts
+/// as a request without a key.
 fn read_key(headers: &HeaderMap, hasher: &KeyHasher) -> Option<KeyDigest> {
     let mut values = headers.get_all(names::AUTHORIZATION).iter();
     let value = values.next()?.to_str().ok()?;
@@ -106,8 +107,8 @@
     key.filter(|key| is_only && !key.is_empty()).map(|key| hasher.digest(key))
 }
 
-/// A day; longer deadlines mean the same.
-const MOST_MILLIS: f64 = 86_400_000.0;
+/// One day; longer deadlines are capped at this value.
+const MAX_DEADLINE_MS: f64 = 86_400_000.0;
 
 fn read_tokens(counts: Option<&str>, hint: Option<f64>) -> TokenCounts {
     let (prompt, output) = counts.and_then(|text| text.split_once(',')).unwrap_or_default();
@@ -119,10 +120,9 @@
 }
 
 impl ServerCall {
-    /// Takes over a caller's request, without what concerns its connection or only the router may
-    /// say.
+    /// Creates a call from a caller's request. Hop-by-hop headers and headers reserved for the router are dropped.
     ///
-    /// Servers are told the organisation that it runs for, whatever the caller said.
+    /// The router names the organisation that the request runs for, whatever the caller's own headers say.
     pub fn new(
         method: Method,
         uri: &Uri,
@@ -137,16 +137,16 @@
             .map(|(name, value)| (name.clone(), value.clone()))
             .collect();
         if let Some(organisation) = organisation {
-            set(&mut headers, names::TENANT, &organisation.name);
+            set_header(&mut headers, names::TENANT, &organisation.name);
         }
         Self { method, uri: Uri::try_from(path).unwrap_or_default(), headers, body }
     }
 
-    /// The request as `server` gets it, with `left` of the deadline.
+    /// Builds the request for `server`, with `remaining` time until the deadline.
     pub fn to_server(
         &self,
         server: &ServerEntry,
-        left: Duration,
+        remaining: Duration,
         part: CallPart<'_>,
     ) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
@@ -154,33 +154,33 @@
         *request.uri_mut() = self.uri.clone();
         let headers = request.headers_mut();
         headers.clone_from(&self.headers);
-        set(headers, names::DEADLINE, &left.as_millis().to_string());
-        set(headers, names::EXPECT_INSTANCE, &server.id);
+        set_header(headers, names::DEADLINE, &remaining.as_millis().to_string());
+        set_header(headers, names::EXPECT_INSTANCE, &server.id);
         if !self.body.is_empty() || self.method == Method::POST || self.method == Method::PUT {
             headers.insert(CONTENT_LENGTH, HeaderValue::from(self.body.len()));
         }
         match part {
             CallPart::Whole => {}
-            CallPart::Prefill => set(headers, names::STAGE, "prefill"),
-            CallPart::Decode(part) => set_decode(headers, part),
+            CallPart::Prefill => set_header(headers, names::STAGE, "prefill"),
+            CallPart::Decode(part) => set_decode_headers(headers, part),
         }
         request
     }
 }
 
-fn set_decode(headers: &mut HeaderMap, part: DecodePart<'_>) {
+fn set_decode_headers(headers: &mut HeaderMap, part: DecodePart<'_>) {
     if let Some((address, handle)) = part.source {
-        set(headers, names::KV_FROM, &format!("{address}/{handle}"));
+        set_header(headers, names::KV_FROM, &format!("{address}/{handle}"));
     }
     if let Some(hold) = part.hold {
-        set(headers, names::HOLD, hold);
+        set_header(headers, names::HOLD, hold);
     }
     if let Some(event) = part.after_event {
-        set(headers, names::LAST_EVENT, &event.to_string());
+        set_header(headers, names::LAST_EVENT, &event.to_string());
     }
 }
 
-fn set(headers: &mut HeaderMap, name: &'static str, value: &str) {
+fn set_header(headers: &mut HeaderMap, name: &'static str, value: &str) {
     match HeaderValue::from_str(value) {
         Ok(value) => {
             headers.insert(HeaderName::from_static(name), value);
@@ -193,18 +193,18 @@
     names::ROUTER_ONLY.contains(&name.as_str())
 }
 
-/// Whether a header concerns more than one connection.
+/// Whether a header is end-to-end: not a standard hop-by-hop header, and not listed in the `Connection` header.
 fn is_end_to_end(headers: &HeaderMap, name: &HeaderName) -> bool {
     if names::HOP_BY_HOP.contains(&name.as_str()) {
         return false;
     }
-    let named = headers.get_all("connection").iter().filter_map(|value| value.to_str().ok());
-    !named
+    let listed = headers.get_all("connection").iter().filter_map(|value| value.to_str().ok());
+    !listed
         .flat_map(|list| list.split(','))
         .any(|item| item.trim().eq_ignore_ascii_case(name.as_str()))
 }
 
-/// How the head of a backend server's own answer to a request reads.
+/// Outcome of a request, as given by the head of a backend server's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerKind {
     /// A signed success.
@@ -213,11 +213,11 @@
     NotRun,
     /// The server ran the request and failed.
     Failed,
-    /// A success without a signature, or of an encoded body.
+    /// A success without a signature, or with an encoded body.
     Improper,
 }
 
-/// Reads what a backend server's answer means that is known to belong to the request.
+/// Reads the outcome from a backend server's answer. The answer must be known to belong to the request.
 pub fn read_answer(response: &Response<impl Sized>) -> AnswerKind {
     let headers = response.headers();
     let status = response.status();
@@ -232,23 +232,23 @@
     AnswerKind::Failed
 }
 
-/// Whether a whole answer of a backend server stands in the body of another one.
+/// Whether the body of an answer contains the head of another answer of a backend server.
 ///
-/// An answer without a length ends with its connection, and whatever else comes there counts to it: the late
-/// second answer to an earlier request went to the caller of a later one in this way.
+/// An answer without a length extends to the end of its connection, so any further bytes on the connection become part
+/// of its body. A late second answer to an earlier request reached the caller of a later request in this way.
 pub fn contains_answer(body: &[u8]) -> bool {
     let text = String::from_utf8_lossy(body).to_ascii_lowercase();
-    text.match_indices(STATUS_LINE).any(|(place, _)| {
-        let rest = &text[place..];
+    text.match_indices(STATUS_LINE).any(|(offset, _)| {
+        let rest = &text[offset..];
         let head = rest.split("\r\n\r\n").next().unwrap_or(rest);
         head.contains(names::REQUEST_ID)
     })
 }
 
-/// What the head of an answer begins with.
+/// Start of an answer's status line, in lower case.
 const STATUS_LINE: &str = "http/1.";
 
-/// Headers of a backend server's answer that its caller gets.
+/// Returns the headers of a backend server's answer that are passed on to its caller.
 pub fn answer_headers(headers: &HeaderMap) -> HeaderMap {
     headers
         .iter()
@@ -257,14 +257,14 @@
         .collect()
 }
 
-/// Headers of an answer that the router makes itself.
-pub fn router_headers(request_id: &str, come_back: Option<Duration>) -> HeaderMap {
+/// Returns the headers of an answer that the router creates itself.
+pub fn router_headers(request_id: &str, retry_after: Option<Duration>) -> HeaderMap {
     let mut headers = HeaderMap::new();
     if !request_id.is_empty() {
-        set(&mut headers, names::REQUEST_ID, request_id);
+        set_header(&mut headers, names::REQUEST_ID, request_id);
     }
-    if let Some(pause) = come_back {
-        let seconds = format!("{:.3}", pause.as_secs_f64());
+    if let Some(delay) = retry_after {
+        let seconds = format!("{:.3}", delay.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             headers.insert(RETRY_AFTER, value);
         }
--- a/src/platform/server_wire.rs
+++ b/src/platform/server_wire.rs
@@ -12,56 +12,58 @@
 /// Kind under which servers write their entries.
 pub const SERVERS_KIND: &str = "servers";
 
-/// What an entry must hold to name a server to use. Enumerations come as text: an object with the
-/// name of a variant would be taken for that variant.
+/// The fields that an entry needs to describe a usable server. Enumerations are decoded as strings: serde's own decoding
+/// would also accept an object that has the name of a variant as its key.
 #[derive(Debug, Deserialize)]
 struct WireServer {
     service: String,
     address: SocketAddr,
     zone: String,
-    /// Of its software.
-    #[expect(dead_code, reason = "only its type is looked at")]
+    /// Version of the server's software.
+    #[expect(dead_code, reason = "only its type is checked")]
     version: String,
     slots: u32,
     state: String,
-    /// How much longer it is slow after its start.
+    /// Milliseconds that the server remains slow after its start.
     cold_left_ms: f64,
-    /// Changes that it has told of itself.
-    #[expect(dead_code, reason = "only its type is looked at")]
+    /// Number of changes that the server has reported about itself.
+    #[expect(dead_code, reason = "only its type is checked")]
     seq: u64,
     stage: Option<String>,
-    /// Unix milliseconds of the server's start.
-    #[serde(default, deserialize_with = "whole_number")]
+    /// Unix time of the server's start in milliseconds.
+    #[serde(default, deserialize_with = "present_integer")]
     born: Option<u64>,
 }
 
-/// A field that may be left out, but not be null.
-fn whole_number<'de, D: Deserializer<'de>>(field: D) -> std::result::Result<Option<u64>, D::Error> {
+/// Decodes an integer field that may be absent, but not null.
+fn present_integer<'de, D: Deserializer<'de>>(
+    field: D,
+) -> std::result::Result<Option<u64>, D::Error> {
     u64::deserialize(field).map(Some)
 }
 
 /// Decodes one server's entry.
 ///
 /// # Errors
-/// If a field is missing, of another type or without a meaning: the entry names no server to use.
+/// If a field is missing, has the wrong type or an unknown value: the entry describes no usable server.
 pub fn decode_server(object: &StoreObject) -> Result<ServerEntry> {
     if !object.spec.is_object() {
-        return Err(Error::Protocol("the contents are no object".to_owned()));
+        return Err(Error::Protocol("the contents are not a JSON object".to_owned()));
     }
     let wire = WireServer::deserialize(&object.spec)?;
     if !is_server_id(&object.name) {
-        return Err(Error::Protocol("the name is no id of a server".to_owned()));
+        return Err(Error::Protocol("the name is not a valid server id".to_owned()));
     }
     Ok(ServerEntry {
         id: object.name.clone(),
         started_at: wire.born,
-        service: ServiceKey::of(filled(&wire.service, "service")?),
+        service: ServiceKey::of(non_empty(&wire.service, "service")?),
         address: wire.address,
-        domain: NameKey::of(filled(&wire.zone, "zone")?),
+        domain: NameKey::of(non_empty(&wire.zone, "zone")?),
         state: decode_state(&wire.state)?,
-        stage: wire.stage.as_deref().map(known_stage).transpose()?,
+        stage: wire.stage.as_deref().map(decode_known_stage).transpose()?,
         slots: wire.slots,
-        // A negative time, or one that is no number, is none.
+        // The cast turns negative values and NaN into zero.
         cold_ms: wire.cold_left_ms as u32,
     })
 }
@@ -69,7 +71,7 @@
 /// Decodes one event of a watch on servers.
 ///
 /// # Errors
-/// If the entry names no server to use; what can be read of it is in the error.
+/// If the entry describes no usable server; the error holds the readable parts of the entry.
 pub fn decode_change(event: &StoreEvent) -> std::result::Result<FleetChange, UnreadableObject> {
     let object = match event {
         StoreEvent::Removed(name) => return Ok(FleetChange::Removed(IdKey::of(name))),
@@ -83,7 +85,7 @@
     Ok(FleetChange::Updated(entry))
 }
 
-/// Decodes a listing of servers: their entries, and the objects that name none.
+/// Decodes a listing of servers into the usable entries and the objects that describe no usable server.
 pub fn decode_servers(list: &ObjectList) -> (Vec<ServerEntry>, Vec<UnreadableObject>) {
     let mut entries = Vec::new();
     let mut unreadable = list.unreadable.clone();
@@ -96,13 +98,13 @@
     (entries, unreadable)
 }
 
-/// Requests name the server that they are meant for in a header, as plain text.
+/// Whether a name can be a server id: requests carry the id of their server in a header, as visible ASCII text.
 fn is_server_id(name: &str) -> bool {
     let value = HeaderValue::from_str(name);
     !name.is_empty() && value.is_ok_and(|value| value.to_str().is_ok())
 }
 
-fn filled<'a>(text: &'a str, field: &str) -> Result<&'a str> {
+fn non_empty<'a>(text: &'a str, field: &str) -> Result<&'a str> {
     if text.is_empty() {
         return Err(Error::Protocol(format!("the field {field:?} is empty")));
     }
@@ -117,7 +119,7 @@
     }
 }
 
-fn known_stage(name: &str) -> Result<ServerStage> {
+fn decode_known_stage(name: &str) -> Result<ServerStage> {
     decode_stage(name).ok_or_else(|| Error::Protocol(format!("unknown stage {name:?}")))
 }
 
--- a/src/platform/store_call.rs
+++ b/src/platform/store_call.rs
@@ -1,45 +1,45 @@
-//! What is asked of the platform's store, within which bounds, and what came of it.
+//! Options, limits and results of calls to the platform's store.
 
 use super::store_object::{StoreEvent, StoreObject};
 use std::time::Duration;
 
-/// How new a listing must be.
+/// How fresh a listing must be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListAge {
-    /// As the store is now.
+    /// The current state of the store.
     Newest,
-    /// Possibly some seconds old, at a tenth of the price and outside of the store's rates.
+    /// A state that may be some seconds old; it costs a tenth and does not count against the store's rate limit.
     Stale,
 }
 
-/// What a watch brought.
+/// Result of a watch.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WatchAnswer {
-    /// Changes, oldest first, and the revision to go on from.
+    /// Changes, oldest first, and the revision from which the next watch continues.
     Changes(Vec<StoreEvent>, u64),
-    /// The store no longer knows what came after the revision asked for: list again.
+    /// The store no longer has the changes after the requested revision: list the objects again.
     HistoryLost,
-    /// It knows of more than was worth waiting for.
+    /// The changes exceed the size limit of the watch.
     TooLong,
 }
 
-/// How changes are waited for.
+/// Limits of a watch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatchLimits {
-    /// How long the store waits for one.
+    /// How long the store waits for a change.
     pub wait: Duration,
-    /// How much later its answer may begin.
+    /// How much later than `wait` the answer may begin.
     pub slack: Duration,
-    /// Most bytes of changes that are taken.
+    /// Maximum size of the answer in bytes.
     pub max_bytes: usize,
 }
 
-/// Bounds on one call.
+/// Limits of one call.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CallLimit {
-    /// Until the answer begins.
+    /// How long to wait for the answer to begin.
     pub time: Duration,
-    /// Most bytes of it.
+    /// Maximum size of the answer in bytes.
     pub bytes: usize,
 }
 
@@ -49,15 +49,15 @@
     }
 }
 
-/// What is known of a conditional write.
+/// Outcome of a conditional write.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WriteOutcome {
-    /// It took effect.
+    /// The write took effect.
     Written(StoreObject),
-    /// The expected revision did not stand; nothing was written.
+    /// The object is not at the expected revision; nothing was written.
     Conflict,
-    /// The store refused it for certain; nothing was written.
+    /// The store refused the write or did not receive it; nothing was written.
     Refused,
-    /// No answer: it may have taken effect, or may yet.
+    /// No usable answer arrived: the write may have taken effect, or may still do so.
     Unknown,
 }
--- a/src/platform/store_client.rs
+++ b/src/platform/store_client.rs
@@ -1,4 +1,4 @@
-//! Calls the platform's store.
+//! Client of the platform's store.
 
 use super::answer_pace::AnswerPace;
 use super::call_counts::{CallCounts, CallKind};
@@ -22,12 +22,12 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// First pause before a page of a listing is asked for again; doubles with each try.
-const PAGE_PAUSE: Duration = Duration::from_millis(40);
-/// Tries of one page: 1.2 s in all, longer than a store's second of calls.
-const PAGE_TRIES: u32 = 5;
+/// First backoff before a page of a listing is requested again; it doubles with each attempt.
+const PAGE_BACKOFF: Duration = Duration::from_millis(40);
+/// Attempts to read one page. The backoffs add up to 1.2 s, longer than the second of the store's rate limit.
+const PAGE_ATTEMPTS: u32 = 5;
 
-/// Client of the platform's store.
+/// Reads, lists, watches and writes the store's objects.
 #[derive(Debug, Clone)]
 pub struct StoreClient {
     address: SocketAddr,
@@ -36,66 +36,67 @@
 }
 
 impl StoreClient {
-    /// A client of the store at `address`.
+    /// Creates a client of the store at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, clock: HostClock::start(), calls: Arc::default() }
     }
 
-    /// How often the store was called so far, by kind of call.
+    /// Returns the number of calls to the store so far, by kind of call.
     pub fn calls(&self) -> impl Iterator<Item = (CallKind, u64)> {
         let calls = Arc::clone(&self.calls);
         CallKind::ALL.into_iter().map(move |kind| (kind, calls.count(kind)))
     }
 
-    /// Lists all objects of a kind, page by page; each page begins within `limit`.
+    /// Lists all objects of a kind, page by page. Each page must begin within `limit`.
     ///
     /// # Errors
-    /// If the store gave no proper answer in time.
+    /// If the store sent no valid answer in time.
     pub async fn list(&self, kind: &str, age: ListAge, limit: Duration) -> Result<ObjectList> {
-        let mut walk = ListPager::new();
-        // Pages share connections within one listing only: the copy of an older listing's page would pass.
-        let pages = HttpPool::default();
+        let mut pager = ListPager::new();
+        // Pages share connections only within one listing: a late page of an earlier one would go undetected.
+        let pool = HttpPool::default();
         let stale = match age {
             ListAge::Newest => "",
             ListAge::Stale => "stale=1&",
         };
         loop {
-            let target = format!("{kind}?{stale}after={}", walk.after());
+            let target = format!("{kind}?{stale}after={}", pager.after());
             self.calls.record(CallKind::Page);
-            let page = if walk.is_first() {
+            let page = if pager.is_first() {
                 let (status, body) = self.get(&target, limit).await?;
                 check_status(status)?;
                 decode_page(&body)?
             } else {
-                self.further_page(&pages, &target, &walk, limit).await?
+                self.further_page(&pool, &target, &pager, limit).await?
             };
-            if !walk.add(page) {
-                return Ok(walk.into_list());
+            if !pager.add(page) {
+                return Ok(pager.into_list());
             }
         }
     }
 
-    /// Reads a page after the first one. A store that is at its rate refuses some: what was read is kept
-    /// and the page asked for again, or hundreds of hosts that start together never get to the end.
+    /// Reads a page after the first one. A store at its rate limit refuses some pages. The pages read so far are kept
+    /// and the refused page is requested again; otherwise hundreds of hosts that start together would never complete a
+    /// listing.
     async fn further_page(
         &self,
-        pages: &HttpPool,
+        pool: &HttpPool,
         target: &str,
-        walk: &ListPager,
+        pager: &ListPager,
         limit: Duration,
     ) -> Result<ListPage> {
-        let mut pause = PAGE_PAUSE;
+        let mut backoff = PAGE_BACKOFF;
         let mut proof = AnswerProof::Contents(names::REQUEST_ID);
-        for _ in 0..PAGE_TRIES {
+        for _ in 0..PAGE_ATTEMPTS {
             let is_shared = proof != AnswerProof::OwnConnection;
-            let read = |status, body: &Bytes| read_page(status, body, walk, is_shared);
+            let read = |status, body: &Bytes| read_page(status, body, pager, is_shared);
             let request = self.request(Method::GET, target, Bytes::new())?;
-            match self.send(pages, request, proof, limit, read).await {
+            match self.send(pool, request, proof, limit, read).await {
                 Ok(Some(page)) => return Ok(page),
                 Ok(None) => {
-                    tokio::time::sleep(pause).await;
+                    tokio::time::sleep(backoff).await;
                     self.calls.record(CallKind::Page);
-                    pause *= 2;
+                    backoff *= 2;
                 }
                 Err(Error::Protocol(cause)) if is_shared => {
                     log::info!("event=store_page_repeated cause=\"{cause}\"");
@@ -105,13 +106,13 @@
                 Err(error) => return Err(error),
             }
         }
-        Err(Error::Refused("the store stayed busy in the middle of a listing".to_owned()))
+        Err(Error::Refused("the store stayed busy during a listing".to_owned()))
     }
 
-    /// Reads one object; `None` if there is none.
+    /// Reads one object; `None` if it does not exist.
     ///
     /// # Errors
-    /// If the store gave no proper answer in time.
+    /// If the store sent no valid answer in time.
     pub async fn read(
         &self,
         kind: &str,
@@ -128,18 +129,23 @@
         Ok(Some(object))
     }
 
-    /// Waits for changes of a kind after `revision`.
+    /// Waits for changes to objects of a kind after `revision`.
     ///
     /// # Errors
-    /// If the store gave no proper answer in time.
-    pub async fn watch(&self, kind: &str, revision: u64, plan: WatchLimits) -> Result<WatchAnswer> {
-        let WatchLimits { wait, slack, max_bytes } = plan;
+    /// If the store sent no valid answer in time.
+    pub async fn watch(
+        &self,
+        kind: &str,
+        revision: u64,
+        limits: WatchLimits,
+    ) -> Result<WatchAnswer> {
+        let WatchLimits { wait, slack, max_bytes } = limits;
         let target = format!("{kind}?watch={revision}&wait_ms={}", wait.as_millis());
         let limit = CallLimit { time: wait + slack, bytes: max_bytes };
         self.calls.record(CallKind::Watch);
         let (status, body) = match self.get(&target, limit).await {
             Err(Error::TooLong { .. }) => return Ok(WatchAnswer::TooLong),
-            answered => answered?,
+            answer => answer?,
         };
         if status == StatusCode::GONE {
             return Ok(WatchAnswer::HistoryLost);
@@ -149,7 +155,7 @@
         Ok(WatchAnswer::Changes(events, revision))
     }
 
-    /// Writes an object if its revision is still `expected`; `None` if it must not exist yet.
+    /// Writes an object if its revision is still `expected`; `None` means that the object must not exist yet.
     pub async fn write(
         &self,
         kind: &str,
@@ -179,8 +185,8 @@
         self.call_once(Method::GET, target, Bytes::new(), limit).await
     }
 
-    /// Calls the store on a connection of its own: its answers name neither call nor kind, and the copy of
-    /// an earlier one would be believed, as a lease or claim that was not written.
+    /// Calls the store on a new connection. The store's answers identify neither their call nor their kind; on a shared
+    /// connection, a late copy of an earlier answer would pass for a lease or claim that was never written.
     async fn call_once(
         &self,
         method: Method,
@@ -218,27 +224,24 @@
     ) -> Result<T> {
         let limit: CallLimit = limit.into();
         let target = request.uri().clone();
-        let began = self.clock.now();
-        let asked = usize::try_from(request.body().size_hint().lower()).unwrap_or_default();
-        let pace = AnswerPace::new(began, asked, limit.time);
+        let sent_at = self.clock.now();
+        let request_bytes = usize::try_from(request.body().size_hint().lower()).unwrap_or_default();
+        let pace = AnswerPace::new(sent_at, request_bytes, limit.time);
         let received = AtomicUsize::new(0);
         let exchange = async {
             let call = pool.send(self.address, request, proof, SendLimits::default());
-            let answered = tokio::time::timeout(pace.first_byte_timeout(), call).await;
-            let response = answered.map_err(|_elapsed| Error::Timeout)??;
+            let answer = tokio::time::timeout(pace.first_byte_timeout(), call).await;
+            let response = answer.map_err(|_elapsed| Error::Timeout)??;
             let status = response.status();
-            let patience = |count| {
+            let timeout = |count| {
                 received.store(count, Ordering::Relaxed);
                 pace.next_chunk_timeout(self.clock.now(), count)
             };
-            response
-                .into_body()
-                .read_with_timeouts(limit.bytes, patience, |body| read(status, body))
-                .await
+            response.into_body().read_limited(limit.bytes, timeout, |body| read(status, body)).await
         };
-        // Dropping the call closes its connection, so that a late answer meets nobody.
+        // Dropping the call closes its connection, so a late answer cannot reach another call.
         exchange.await.inspect_err(|error| {
-            let waited = self.clock.now().since(began).as_millis();
+            let waited = self.clock.now().since(sent_at).as_millis();
             log::info!(
                 "event=store_call_given_up target={target} received={} waited_ms={waited} \
                  cause=\"{error}\"",
@@ -248,17 +251,17 @@
     }
 }
 
-/// The store did nothing, but may the next moment.
+/// Whether the store refused the call for now: it did nothing, and a retry may succeed.
 fn is_busy(status: StatusCode) -> bool {
     matches!(status, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE)
 }
 
-/// Reads a page after the first one; `None` if the store did nothing. These pages share a connection, since
-/// a listing of 3,000 servers has 61 of them: the copy of an earlier one is known by its names.
+/// Decodes a page after the first one; `None` if the store is busy. These pages share a connection, because a listing of
+/// 3,000 servers has 61 of them; a copy of an earlier page is detected by its names.
 fn read_page(
     status: StatusCode,
     body: &Bytes,
-    walk: &ListPager,
+    pager: &ListPager,
     is_shared: bool,
 ) -> Result<Option<ListPage>> {
     if is_busy(status) {
@@ -266,8 +269,8 @@
     }
     check_status(status)?;
     let page = decode_page(body)?;
-    if is_shared && walk.repeats(&page) {
-        return Err(Error::Protocol("a page that was read before".to_owned()));
+    if is_shared && pager.repeats(&page) {
+        return Err(Error::Protocol("the page was already read".to_owned()));
     }
     Ok(Some(page))
 }
--- a/src/platform/store_object.rs
+++ b/src/platform/store_object.rs
@@ -1,36 +1,36 @@
-//! The store's objects, as they are read out of its answers.
+//! Objects of the store, as decoded from its answers.
 
 use serde_json::Value;
 
-/// Bytes of the longest object that a store holds, with what stands around it in an answer.
+/// Size of the largest object that a store holds, including the text around it in an answer.
 pub const MAX_OBJECT_BYTES: usize = (1 << 20) + (16 << 10);
 
 /// An object of the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoreObject {
-    /// Its name within its kind.
+    /// Name within the object's kind.
     pub name: String,
-    /// Revision of its last change.
+    /// Revision of the object's last change.
     pub revision: u64,
-    /// It is being removed.
+    /// Whether the object is being removed.
     pub deleting: bool,
-    /// Contents.
+    /// The object's contents.
     pub spec: Value,
 }
 
-/// An object that cannot be read or, of its kind, cannot be used.
+/// An object that cannot be decoded, or whose contents are not valid for its kind.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct UnreadableObject {
-    /// Its name, if at least that can be read.
+    /// The object's name, if it can be decoded.
     pub name: Option<String>,
-    /// Revision of its last change; zero if that cannot be read.
+    /// Revision of the object's last change; zero if it cannot be decoded.
     pub revision: u64,
-    /// What is wrong.
+    /// Why the object is unreadable.
     pub cause: String,
 }
 
 impl UnreadableObject {
-    /// An object that was read, and whose contents are wrong.
+    /// Describes an object that was decoded, but whose contents are invalid.
     pub(super) fn of(object: &StoreObject, cause: &crate::Error) -> Self {
         Self {
             name: Some(object.name.clone()),
@@ -40,28 +40,27 @@
     }
 }
 
-/// One change that a watch brought.
+/// A change reported by a watch.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreEvent {
-    /// An object is new or has changed.
+    /// An object was created or changed.
     Changed(StoreObject),
-    /// The object of this name is gone.
+    /// The object of this name was removed.
     Removed(String),
-    /// The object that is new or has changed cannot be read.
+    /// An object was created or changed, but cannot be decoded.
     Unreadable(UnreadableObject),
 }
 
 /// All objects of a kind.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ObjectList {
-    /// The objects that can be read.
+    /// The objects that could be decoded.
     pub items: Vec<StoreObject>,
-    /// Those that cannot; one without a name may stand twice.
+    /// The objects that could not be decoded; an object without a name may be listed twice.
     pub unreadable: Vec<UnreadableObject>,
-    /// Whether it reaches to the end. Behind a page on which no name can be read, or whose last name has
-    /// led to a page before, no further one can be asked for.
+    /// Whether the listing reaches the last object. It cannot continue after a page without a readable name, or after
+    /// one whose last name was already used as the start of a page.
     pub is_complete: bool,
-    /// Revision of the store at which the oldest part of them was read; what came after it is told by
-    /// a watch.
+    /// Revision of the store at which the oldest page was read; a watch from this revision reports all later changes.
     pub revision: u64,
 }
--- a/src/platform/store_wire.rs
+++ b/src/platform/store_wire.rs
@@ -1,4 +1,4 @@
-//! Decodes the store's answers, each object by itself.
+//! Decodes the store's answers. Each object is decoded separately, so that an unreadable one does not affect the others.
 
 use super::json_parts::{split_array, split_object};
 use super::store_object::{StoreEvent, StoreObject, UnreadableObject};
@@ -29,18 +29,18 @@
 pub(super) struct ListPage {
     pub items: Vec<StoreObject>,
     pub unreadable: Vec<UnreadableObject>,
-    /// The last name on it that can be read.
+    /// The last readable name on the page.
     pub last_name: Option<String>,
-    /// There are further pages.
+    /// Whether there are further pages.
     pub more: bool,
-    /// Revision of the store.
+    /// Revision of the store at which the page was read.
     pub revision: u64,
 }
 
 /// Decodes a page of a listing.
 ///
 /// # Errors
-/// If the page as a whole is no JSON object, or lacks what belongs to no item.
+/// If the page is not a JSON object, or if a field outside of the items is missing or has the wrong type.
 pub(super) fn decode_page(body: &[u8]) -> Result<ListPage> {
     let members = split_object(body)?;
     let mut page = ListPage {
@@ -65,10 +65,10 @@
     Ok(page)
 }
 
-/// Decodes the answer to a watch: the events, oldest first, and the revision to go on from.
+/// Decodes the answer to a watch: the events, oldest first, and the revision from which the next watch continues.
 ///
 /// # Errors
-/// If the answer as a whole is no JSON object, or lacks what belongs to no event.
+/// If the answer is not a JSON object, or if a field outside of the events is missing or has the wrong type.
 pub(super) fn decode_events(body: &[u8]) -> Result<(Vec<StoreEvent>, u64)> {
     let members = split_object(body)?;
     let events = elements(&members, "events")?.into_iter().map(decode_event).collect();
@@ -78,16 +78,16 @@
 /// Decodes one object.
 ///
 /// # Errors
-/// If it cannot be read; what can be is in the error.
+/// If the object is malformed; the error holds its readable parts.
 pub(super) fn decode_object(text: &[u8]) -> std::result::Result<StoreObject, UnreadableObject> {
-    read_object(text).map_err(|error| unreadable(text, &error))
+    parse_object(text).map_err(|error| unreadable(text, &error))
 }
 
-/// Decodes one object among others, which only its name tells apart.
+/// Decodes one object of a listing or a watch. Such an object needs a name, which identifies it among the others.
 fn decode_item(text: &[u8]) -> std::result::Result<StoreObject, UnreadableObject> {
     let object = decode_object(text)?;
     if object.name.is_empty() {
-        return Err(unreadable(text, &Error::Protocol("an object without a name".to_owned())));
+        return Err(unreadable(text, &Error::Protocol("the object has no name".to_owned())));
     }
     Ok(object)
 }
@@ -105,11 +105,11 @@
     }
 }
 
-fn read_object(text: &[u8]) -> Result<StoreObject> {
+fn parse_object(text: &[u8]) -> Result<StoreObject> {
     let value: Value = serde_json::from_slice(text)?;
-    // A list in place of an object would be read by the order of its values.
+    // Serde would also decode an array, with the fields in the order of its values.
     if !value.is_object() || value.get("metadata").is_some_and(Value::is_array) {
-        return Err(Error::Protocol("no object with metadata".to_owned()));
+        return Err(Error::Protocol("expected an object with metadata".to_owned()));
     }
     let wire = WireObject::deserialize(value)?;
     Ok(StoreObject {
@@ -120,7 +120,7 @@
     })
 }
 
-/// What can be read of an object that cannot be read as a whole.
+/// Extracts the readable parts of a malformed object.
 fn unreadable(text: &[u8], error: &Error) -> UnreadableObject {
     let members = split_object(text).unwrap_or_default();
     let metadata = find(&members, "metadata").and_then(|text| split_object(text).ok());
@@ -137,12 +137,13 @@
 type Members<'a> = [(String, &'a [u8])];
 
 fn find<'a>(members: &Members<'a>, name: &str) -> Option<&'a [u8]> {
-    members.iter().find(|(known, _)| known == name).map(|(_, value)| *value)
+    members.iter().find(|(member, _)| member == name).map(|(_, value)| *value)
 }
 
 fn elements<'a>(members: &Members<'a>, name: &str) -> Result<Vec<&'a [u8]>> {
-    // Another call's answer has none; taken for an empty list, it would say that all objects are gone.
-    let missing = || Error::Protocol(format!("an answer of the store lacks {name:?}"));
+    // The answer to another call may lack this member. Treating it as an empty list would mean that all objects were
+    // removed.
+    let missing = || Error::Protocol(format!("the store's answer lacks {name:?}"));
     split_array(find(members, name).ok_or_else(missing)?)
 }
 
@@ -152,5 +153,5 @@
 
 fn required<T: DeserializeOwned>(members: &Members<'_>, name: &str) -> Result<T> {
     optional(members, name)?
-        .ok_or_else(|| Error::Protocol(format!("an answer of the store lacks {name:?}")))
+        .ok_or_else(|| Error::Protocol(format!("the store's answer lacks {name:?}")))
 }
