--- a/src/engines/answer_proof.rs
+++ b/src/engines/answer_proof.rs
@@ -4,36 +4,35 @@
 use http_body_util::Full;
 use hyper::{Request, Response};
 
-/// How the answer to a call shows that it belongs to the call, and not to an earlier one on the same
-/// connection.
+/// How the answer to a call proves that it belongs to the call, and not to an earlier one on the same connection.
 ///
-/// A server may give an answer twice, the second time late. On a kept connection the copy then stands where
-/// the next call's answer should, and all answers after it are one behind: a prompt's result went to the
-/// request after it in this way. So no answer is believed, and no connection kept, without proof.
+/// A server may send an answer twice, the second time late. On a reused connection the copy takes the place of the next
+/// call's answer, and all later answers are off by one: the prefill result of one prompt was used for the next request
+/// in this way. Without proof, therefore, an answer is rejected and its connection is not reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerProof {
-    /// It carries the id that the call has in this header.
+    /// The answer repeats the id that the call carries in this header.
     Id(&'static str),
-    /// Its server puts no id on such answers: one that has an id in this header belongs to another call,
-    /// and whoever reads it must know it by what it says.
+    /// The server sends no id in such answers, so an answer with an id in this header belongs to another call. The
+    /// reader must recognise the answer by its contents.
     Contents(&'static str),
-    /// Nothing tells: the call has a connection for itself.
+    /// The answer cannot be recognised, so the call uses a connection of its own.
     OwnConnection,
 }
 
-/// Whose answer an answer says it is.
+/// The call to which an answer belongs, according to its id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerOwner {
-    /// The call's that it came for.
+    /// The call that received the answer.
     Asked,
-    /// Another call's.
+    /// Another call.
     Another,
-    /// It names no call.
+    /// Unknown, because the answer has no id.
     Unnamed,
 }
 
 impl AnswerProof {
-    /// The id that the answer to `request` must carry.
+    /// Returns the id that the answer to `request` must carry.
     pub(super) fn expected_id(self, request: &Request<Full<Bytes>>) -> Option<HeaderValue> {
         match self {
             Self::Id(header) => request.headers().get(header).cloned(),
@@ -41,10 +40,10 @@
         }
     }
 
-    /// Checks whose answer came for a call with `id`, the call number `calls` of its connection.
+    /// Checks that an answer belongs to the call with `id`, which is call number `calls` on its connection.
     ///
     /// # Errors
-    /// [`Error::Foreign`] if it may be another call's.
+    /// [`Error::Foreign`] if the answer may belong to another call.
     pub(super) fn check<T>(
         self,
         id: Option<&HeaderValue>,
@@ -59,8 +58,8 @@
             Self::Contents(_) | Self::OwnConnection => AnswerOwner::Asked,
         };
         let status = response.status();
-        // Before the first answer of a connection there was none that could come late; a success names its
-        // call all the same.
+        // The first answer on a connection cannot be a late copy, so a failure without an id is accepted there. A
+        // success always carries the id of its call.
         let is_own = match owner {
             AnswerOwner::Asked => true,
             AnswerOwner::Unnamed => calls == 1 && !status.is_success(),
@@ -69,9 +68,9 @@
         if is_own { Ok(()) } else { Err(Error::Foreign { owner, status, calls }) }
     }
 
-    /// Whether the answer to a further call on the connection of this one could prove itself: a server that
-    /// sends no id back gets a connection for each call.
-    pub(super) fn allows_more<T>(self, response: &Response<T>) -> bool {
+    /// Whether the connection of this answer may carry another call whose answer can be checked. A server that does
+    /// not repeat ids gets a new connection for each call.
+    pub(super) fn allows_reuse<T>(self, response: &Response<T>) -> bool {
         match self {
             Self::Id(header) => response.headers().contains_key(header),
             Self::Contents(_) => true,
@@ -81,9 +80,9 @@
 }
 
 fn owner<T>(header: &str, id: Option<&HeaderValue>, response: &Response<T>) -> AnswerOwner {
-    let mut named = response.headers().get_all(header).iter().peekable();
-    if named.peek().is_none() {
+    let mut ids = response.headers().get_all(header).iter().peekable();
+    if ids.peek().is_none() {
         return AnswerOwner::Unnamed;
     }
-    if named.all(|value| Some(value) == id) { AnswerOwner::Asked } else { AnswerOwner::Another }
+    if ids.all(|value| Some(value) == id) { AnswerOwner::Asked } else { AnswerOwner::Another }
 }
--- a/src/engines/engine_client.rs
+++ b/src/engines/engine_client.rs
@@ -14,7 +14,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-const SHORT_CALL: Duration = Duration::from_millis(600);
+/// Timeout of all calls except prefills and decodes.
+const SHORT_CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Client of the model engines' API.
 #[derive(Debug, Clone, Default)]
@@ -25,48 +26,48 @@
 }
 
 impl EngineClient {
-    /// Runs a prefill; the caller sets the time limit.
+    /// Runs a prefill. There is no timeout; the caller sets one.
     ///
     /// # Errors
-    /// If the engine refuses, fails or breaks the connection.
+    /// If the engine refuses the call, fails or breaks the connection.
     pub async fn prefill(&self, address: SocketAddr, call: &PrefillCall) -> Result<PrefillReply> {
-        self.ask(address, "/v1/prefill", call).await
+        self.call(address, "/v1/prefill", call).await
     }
 
     /// Starts a decode stream.
     ///
     /// # Errors
-    /// If the engine refuses or breaks the connection before the stream begins.
+    /// If the engine refuses the call or breaks the connection before the stream begins.
     pub async fn decode(&self, address: SocketAddr, call: &DecodeCall) -> Result<LineStream> {
         let response = self.post(address, "/v1/decode", call).await?;
         Ok(LineStream::new(response.into_body()))
     }
 
-    /// Takes up the stream of an attempt that the engine still holds.
+    /// Resumes the stream of an attempt that the engine still holds.
     ///
     /// # Errors
-    /// If the engine does not hold it.
+    /// If the engine does not hold the attempt or sent no answer in time.
     pub async fn resume(&self, address: SocketAddr, call: &ResumeCall) -> Result<LineStream> {
-        let response = self.limit(self.post(address, "/v1/resume", call)).await?;
+        let response = self.with_timeout(self.post(address, "/v1/resume", call)).await?;
         Ok(LineStream::new(response.into_body()))
     }
 
-    /// Drops an attempt; the answer confirms that the engine no longer holds it.
+    /// Cancels an attempt; the reply confirms that the engine no longer holds it.
     ///
     /// # Errors
-    /// If the engine gave no answer.
+    /// If the engine sent no valid answer in time.
     pub async fn cancel(&self, address: SocketAddr, attempt: String) -> Result<CancelReply> {
         let call = CancelCall { attempt };
-        self.limit(self.ask(address, "/v1/cancel", &call)).await
+        self.with_timeout(self.call(address, "/v1/cancel", &call)).await
     }
 
-    /// Reads the lagged load report and cache events after `cache_after`.
+    /// Reads the engine's load report, which lags, and the cache events after `cache_after`.
     ///
     /// # Errors
-    /// If the engine gave no answer.
+    /// If the engine sent no valid answer in time.
     pub async fn load(&self, address: SocketAddr, cache_after: u64) -> Result<EngineLoad> {
         let path = format!("/v1/load?after={cache_after}");
-        self.limit(async {
+        self.with_timeout(async {
             let response = self.send(Method::GET, address, &path, Bytes::new()).await?;
             let read = |bytes: &Bytes| Ok((serde_json::from_slice(bytes)?, bytes.len()));
             let (load, length) = response.into_body().read_with(read).await?;
@@ -76,29 +77,29 @@
         .await
     }
 
-    /// Bytes of load reports read so far.
+    /// Returns the total size of the load reports read so far, in bytes.
     pub fn report_bytes(&self) -> u64 {
         self.report_bytes.load(Ordering::Relaxed)
     }
 
-    /// Answers so far that were not the ones asked for.
+    /// Returns the number of answers so far that belonged to another call.
     pub fn foreign_answers(&self) -> u64 {
         self.foreign_answers.load(Ordering::Relaxed)
     }
 
-    /// Sends a fenced order.
+    /// Sends an order with a fencing token.
     ///
     /// # Errors
-    /// If the engine refuses it or gave no answer.
+    /// If the engine refuses the order or sent no valid answer in time.
     pub async fn order(&self, address: SocketAddr, order: &ServerOrder) -> Result<CancelReply> {
-        self.limit(self.ask(address, "/v1/orders", order)).await
+        self.with_timeout(self.call(address, "/v1/orders", order)).await
     }
 
-    async fn limit<T>(&self, call: impl Future<Output = Result<T>>) -> Result<T> {
-        tokio::time::timeout(SHORT_CALL, call).await.map_err(|_elapsed| Error::Timeout)?
+    async fn with_timeout<T>(&self, call: impl Future<Output = Result<T>>) -> Result<T> {
+        tokio::time::timeout(SHORT_CALL_TIMEOUT, call).await.map_err(|_elapsed| Error::Timeout)?
     }
 
-    async fn ask<T: DeserializeOwned>(
+    async fn call<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
         path: &str,
@@ -118,7 +119,7 @@
         self.send(Method::POST, address, path, body).await
     }
 
-    /// Sends a call and checks that a success came for it.
+    /// Sends a call and checks that its answer is a success and belongs to the call.
     async fn send(
         &self,
         method: Method,
@@ -131,8 +132,8 @@
             .uri(path)
             .header("host", address.to_string())
             .header("content-type", "application/json")
-            // A new one for each call: an attempt is cancelled and resumed more than once, and its name
-            // would not tell those answers apart.
+            // Each call has a new id. The attempt's name cannot serve as the id: an attempt is cancelled and resumed
+            // more than once, and the answers to those calls could not be told apart.
             .header(CALL_ID, rand::random::<u64>())
             .body(Full::new(body))
             .map_err(|error| Error::Protocol(error.to_string()))?;
--- a/src/engines/engine_wire.rs
+++ b/src/engines/engine_wire.rs
@@ -2,10 +2,10 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Header with the id of a call; an engine sends it back with its answer, whatever the answer is.
+/// Header with the id of a call. An engine repeats it in every answer, including refusals and errors.
 pub const CALL_ID: &str = "tealcleat-call";
 
-/// Asks a prefill engine to read a prompt.
+/// Asks a prefill engine to process a prompt.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PrefillCall {
     /// The attempt.
@@ -18,22 +18,22 @@
     pub adapter: Option<String>,
     /// The prompt.
     pub prompt: String,
-    /// Tokens of the answer that were generated before, to continue after them.
+    /// Answer tokens that were already generated; the answer continues after them.
     pub generated: Vec<String>,
 }
 
-/// A finished prefill.
+/// Reply to a [`PrefillCall`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PrefillReply {
-    /// Names the result for its transfer.
+    /// Handle of the result, with which a decode engine fetches it.
     pub handle: u64,
-    /// Tokens that had to be computed.
+    /// Number of prompt tokens that were computed.
     pub computed_tokens: u32,
-    /// Tokens that were cached.
+    /// Number of prompt tokens that were found in the prefix cache.
     pub cached_tokens: u32,
-    /// Size of the KV cache.
+    /// Size of the KV cache in bytes.
     pub kv_bytes: u64,
-    /// Time it took the engine, without its queue.
+    /// Processing time in the engine, without the time in its queue.
     pub took_micros: u64,
 }
 
@@ -46,15 +46,15 @@
     pub request: String,
     /// The prefill engine that holds the result.
     pub source: SocketAddr,
-    /// The result.
+    /// Handle of the prefill result.
     pub handle: u64,
     /// Index of the first token to generate.
     pub next_index: u32,
-    /// Tokens of the answer at most.
+    /// Maximum number of answer tokens.
     pub max_tokens: u32,
 }
 
-/// Asks a decode engine to send the stream of an attempt that it still holds.
+/// Asks a decode engine to resume the stream of an attempt that it still holds.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ResumeCall {
     /// The attempt.
@@ -63,17 +63,17 @@
     pub next_index: u32,
 }
 
-/// Asks an engine to drop an attempt.
+/// Asks an engine to cancel an attempt.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CancelCall {
     /// The attempt.
     pub attempt: String,
 }
 
-/// Whether the dropped attempt was held.
+/// Reply to a [`CancelCall`] or to an order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CancelReply {
-    /// It was.
+    /// Whether the engine held the cancelled attempt; `false` in the reply to an order.
     pub held: bool,
 }
 
@@ -90,9 +90,9 @@
         /// Its text.
         text: String,
     },
-    /// The answer ended with this many tokens.
+    /// The answer is complete.
     Done {
-        /// Tokens of the whole answer.
+        /// Number of tokens in the whole answer.
         total: u32,
         /// `stop` or `length`.
         finish: String,
@@ -105,7 +105,7 @@
 }
 
 impl StreamEvent {
-    /// Whether a stream is whole with it.
+    /// Whether this event completes a stream.
     pub const fn is_last(&self) -> bool {
         match self {
             Self::Imported | Self::Token { .. } => false,
@@ -129,33 +129,33 @@
 pub struct CacheEvents {
     /// Sequence number after the last event.
     pub next: u64,
-    /// Events were missed: what was known before is void.
+    /// Whether events were lost; if so, the previously known cache contents are void.
     pub gap: bool,
     /// The events.
     pub events: Vec<CacheEvent>,
 }
 
-/// An engine's report of itself; it lags.
+/// An engine's load report; it lags behind the engine's state.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// How old the report was when it was sent, in milliseconds.
+    /// Age of the report when it was sent, in milliseconds.
     pub age_ms: u64,
     /// Role of the engine.
     pub role: ServerRole,
-    /// Models it holds, as `name@version`.
+    /// Loaded models, as `name@version`.
     pub models: Vec<String>,
-    /// Whether it refuses new work.
+    /// Whether the engine refuses new work.
     pub draining: bool,
-    /// Highest fence obeyed.
+    /// Highest fencing token of an order that the engine has accepted.
     pub fence: u64,
-    /// Attempts that it holds, waiting or running.
+    /// Attempts that the engine holds, waiting or running.
     pub held: Vec<String>,
-    /// Requests that it runs at once.
+    /// Number of requests that the engine can run concurrently.
     pub capacity: u32,
-    /// Work before a new request could start, in milliseconds.
+    /// Queued work ahead of a new request, in milliseconds.
     pub backlog_ms: u64,
-    /// Present time of a decode step, in microseconds; zero if idle.
+    /// Current duration of a decode step, in microseconds; zero if idle.
     pub step_micros: u64,
-    /// Cache events after the number asked for.
+    /// Cache events after the requested sequence number.
     pub cache: CacheEvents,
 }
--- a/src/engines/http_pool.rs
+++ b/src/engines/http_pool.rs
@@ -1,6 +1,6 @@
 use super::answer_proof::AnswerProof;
 use super::idle_connections::{
-    CallSender, IdleConnections, PooledConnection, UNSTATED_KEEP, stated_keep,
+    CallSender, DEFAULT_KEEP_ALIVE, IdleConnections, PooledConnection, keep_alive,
 };
 use super::pooled_body::{PooledBody, ReturnPath};
 use crate::{Error, Result};
@@ -17,17 +17,17 @@
 use tokio::net::TcpStream;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// A kept connection that rests is ready at once; one that is not by now is given up for another, which
-/// costs less than a round trip to a server.
-const READY_LIMIT: Duration = Duration::from_millis(20);
+/// How long to wait for a pooled connection to become ready. An idle connection is ready at once; trying another one
+/// after this time costs less than a round trip to a server.
+const READY_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// How a request may be sent.
+/// Limits on sending a request.
 #[derive(Debug, Clone, Copy)]
 pub struct SendLimits {
-    /// Longest time that opening a connection may take.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// Longest rest of a kept connection that may be used; for requests that must not be repeated,
-    /// since a server may close a resting connection while the request is on its way.
+    /// Maximum idle time of a pooled connection that may be used. It is limited for requests that must not be retried,
+    /// because a server may close an idle connection while the request is in flight.
     pub max_idle: Duration,
 }
 
@@ -37,19 +37,19 @@
     }
 }
 
-/// Keeps HTTP/1.1 connections to backend servers open between calls.
+/// Pool of HTTP/1.1 connections to backend servers.
 #[derive(Debug, Clone, Default)]
 pub struct HttpPool {
     idle: IdleConnections,
 }
 
 impl HttpPool {
-    /// Sends a request on a kept connection that has not rested for too long, or on a new one, and checks
-    /// that the answer shows by `proof` that it belongs to it.
+    /// Sends a request on a pooled connection that has not been idle for too long, or on a new one, and checks by
+    /// `proof` that the answer belongs to the request.
     ///
     /// # Errors
-    /// [`Error::NotSent`] if certainly nothing reached the server; [`Error::Foreign`] if the answer may be
-    /// another call's; this and any other error if the request may have reached it.
+    /// [`Error::NotSent`] if it is certain that nothing reached the server; [`Error::Foreign`] if the answer may belong
+    /// to another call. After `Foreign` and any other error, the request may have reached the server.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -59,18 +59,18 @@
     ) -> Result<Response<PooledBody>> {
         let id = proof.expected_id(&request);
         let mut request = request;
-        while let Some(mut kept) = self.take_kept(address, proof, limits, id.as_ref()) {
-            // One that still sends the body of an earlier call, answered early, is no use to this one.
-            let ready = tokio::time::timeout(READY_LIMIT, kept.sender.ready()).await;
+        while let Some(mut pooled) = self.take_pooled(address, proof, limits, id.as_ref()) {
+            // A connection is not ready while it still sends the body of an earlier call that was answered early.
+            let ready = tokio::time::timeout(READY_TIMEOUT, pooled.sender.ready()).await;
             if !matches!(ready, Ok(Ok(()))) {
                 continue;
             }
-            let call = self.idle.sent(address);
-            let sent = kept.sender.try_send_request(request).await;
-            call.ended();
-            match sent {
-                Ok(response) => return self.accept(address, kept, proof, id, response),
-                // A message handed back was never sent: the server had closed the connection.
+            let pending = self.idle.start_call(address);
+            let result = pooled.sender.try_send_request(request).await;
+            pending.complete();
+            match result {
+                Ok(response) => return self.accept(address, pooled, proof, id, response),
+                // A message that hyper returns was never sent: the server had closed the connection.
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
                     None => return Err(error.into_error().into()),
@@ -90,43 +90,44 @@
         }
     }
 
-    /// Addresses to which a kept connection can be used now.
+    /// Returns the addresses that have a usable pooled connection.
     pub fn warm_addresses(&self) -> HashSet<SocketAddr> {
         self.idle.addresses()
     }
 
-    /// Opens a connection that no other call has used.
+    /// Opens a new connection outside of the pool.
     ///
     /// # Errors
-    /// If it could not be opened; then certainly nothing was sent.
+    /// If the connection could not be opened; nothing was sent in this case.
     pub async fn connect(address: SocketAddr) -> Result<CallSender> {
         Self::connect_within(address, CONNECT_TIMEOUT).await
     }
 
-    /// Opens a connection and keeps it for the next call.
+    /// Opens a connection and adds it to the pool for the next call.
     ///
     /// # Errors
-    /// If it could not be opened within `limit`.
-    pub async fn warm(&self, address: SocketAddr, limit: Duration) -> Result<()> {
-        let connection = PooledConnection::new(Self::connect_within(address, limit).await?);
-        self.idle.put(address, connection, UNSTATED_KEEP);
+    /// If the connection could not be opened within `timeout`.
+    pub async fn warm(&self, address: SocketAddr, timeout: Duration) -> Result<()> {
+        let connection = PooledConnection::new(Self::connect_within(address, timeout).await?);
+        self.idle.put(address, connection, DEFAULT_KEEP_ALIVE);
         Ok(())
     }
 
-    async fn connect_within(address: SocketAddr, limit: Duration) -> Result<CallSender> {
+    async fn connect_within(address: SocketAddr, timeout: Duration) -> Result<CallSender> {
         let connecting = TcpStream::connect(address);
-        let stream =
-            tokio::time::timeout(limit, connecting).await.map_err(|_elapsed| Error::Timeout)??;
+        let stream = tokio::time::timeout(timeout, connecting)
+            .await
+            .map_err(|_elapsed| Error::Timeout)??;
         stream.set_nodelay(true)?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await?;
         tokio::spawn(async move {
-            // Its calls see the error; the task has nobody to tell.
+            // The calls on the connection receive the error, so the task ignores it.
             let _ = connection.await;
         });
         Ok(sender)
     }
 
-    fn take_kept(
+    fn take_pooled(
         &self,
         address: SocketAddr,
         proof: AnswerProof,
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Takes over an answer's head; the connection of an answer without proof is closed.
+    /// Checks an answer's head. The connection of an answer without proof is closed.
     fn accept(
         &self,
         address: SocketAddr,
@@ -150,15 +151,17 @@
         id: Option<HeaderValue>,
         response: Response<Incoming>,
     ) -> Result<Response<PooledBody>> {
-        self.idle.note_heard(address);
+        self.idle.record_answer(address);
         let mut connection = connection;
         proof
             .check(id.as_ref(), connection.calls + 1, &response)
-            .inspect_err(|_| self.idle.note_foreign(address))?;
-        connection.note_call(id.as_ref());
-        let keep = proof.allows_more(&response).then(|| stated_keep(response.headers())).flatten();
+            .inspect_err(|_| self.idle.record_foreign(address))?;
+        connection.record_call(id.as_ref());
+        let keep_alive =
+            proof.allows_reuse(&response).then(|| keep_alive(response.headers())).flatten();
         let idle = self.idle.clone();
-        let back = keep.map(|keep| ReturnPath { idle, address, connection, keep });
-        Ok(PooledBody::new(response, back))
+        let return_path =
+            keep_alive.map(|keep_alive| ReturnPath { idle, address, connection, keep_alive });
+        Ok(PooledBody::new(response, return_path))
     }
 }
--- a/src/engines/idle_connections.rs
+++ b/src/engines/idle_connections.rs
@@ -9,31 +9,32 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-const IDLE_PER_ADDRESS: usize = 64;
-/// Assumed of a server that does not say how long it keeps idle connections.
-pub(super) const UNSTATED_KEEP: Duration = Duration::from_secs(2);
-/// A connection is given up this long before its server closes it, for a request on the way.
-const KEEP_MARGIN: Duration = Duration::from_millis(700);
-/// How long after an answer without proof no connection to its server is kept: one that gives an answer
-/// twice has mostly given others twice as well, and each copy costs the request that meets it. Where three
-/// answers in ten came twice late, failed requests fell from 0.036 to 0.027, 0.031 to 0.026 and 0.037 to
-/// 0.028 of all (three deployments, eight plays each); where three in a hundred did, nothing changed.
-const FOREIGN_REST: Duration = Duration::from_secs(2);
-/// A call that is given up sooner tells nothing of its connection.
-const LEAST_SILENCE: Duration = Duration::from_millis(150);
-/// Calls after which a connection is closed, so that it can remember the ids of all of them.
-const MOST_CALLS: u32 = 256;
+const MAX_IDLE_PER_ADDRESS: usize = 64;
+/// Keep-alive time assumed for a server that does not state one.
+pub(super) const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(2);
+/// How long before its server closes it an idle connection is no longer used, so that the server does not close it while
+/// a request is in flight.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
+/// How long after an answer without proof no connection to its server is reused. A server that sends one answer twice
+/// has usually sent others twice as well, and each copy fails the request that receives it. With 3 in 10 answers
+/// duplicated late, this reduced the share of failed requests from 0.036 to 0.027, from 0.031 to 0.026 and from 0.037
+/// to 0.028 in three deployments (eight runs each); with 3 in 100 duplicated, it changed nothing.
+const FOREIGN_COOLDOWN: Duration = Duration::from_secs(2);
+/// Minimum time without an answer after which an abandoned call counts against its connection.
+const MIN_SILENCE: Duration = Duration::from_millis(150);
+/// Number of calls after which a connection is closed. It bounds the set of call ids that a connection remembers.
+const MAX_CALLS: u32 = 256;
 
 pub(super) type CallSender = SendRequest<Full<Bytes>>;
 
-/// A connection and what it has carried.
+/// A connection and the record of its calls.
 #[derive(Debug)]
 pub(super) struct PooledConnection {
     pub sender: CallSender,
-    /// Calls that it has carried.
+    /// Number of calls sent on this connection.
     pub calls: u32,
-    /// Hashes of the ids of those that had one: an id itself would keep the buffer that its request was read
-    /// into, 4 KB or more of a caller's connection.
+    /// Hashes of the ids of these calls. The ids themselves are not stored: an id would keep alive the buffer into which
+    /// its request was read, 4 KB or more per caller's connection.
     ids: HashSet<u64>,
 }
 
@@ -42,14 +43,14 @@
         Self { sender, calls: 0, ids: HashSet::new() }
     }
 
-    /// It carries a call.
-    pub fn note_call(&mut self, id: Option<&HeaderValue>) {
+    /// Records a call on this connection.
+    pub fn record_call(&mut self, id: Option<&HeaderValue>) {
         self.calls += 1;
         self.ids.extend(id.map(|id| stable_hash(id.as_bytes())));
     }
 
-    /// Whether an answer on it can be told from those to earlier calls: the id of a call that is sent
-    /// again, as when a server turned it away, does not tell its two answers apart.
+    /// Whether the answer to a call with `id` can be distinguished from the answers to earlier calls. If a call is sent
+    /// again with the same id, for example after the server rejected it, its two answers look alike.
     fn may_carry(&self, id: Option<&HeaderValue>) -> bool {
         id.is_none_or(|id| !self.ids.contains(&stable_hash(id.as_bytes())))
     }
@@ -58,90 +59,91 @@
 #[derive(Debug)]
 struct IdleConnection {
     connection: PooledConnection,
-    since: TimePoint,
-    /// How long its server keeps it.
-    keep: Duration,
+    idle_since: TimePoint,
+    /// How long the server keeps the connection open while it is idle.
+    keep_alive: Duration,
 }
 
 impl IdleConnection {
-    /// Whether its server keeps it long enough for one more request.
+    /// Whether the server keeps the connection open long enough for one more request.
     fn is_usable(&self, now: TimePoint) -> bool {
-        now.since(self.since) + KEEP_MARGIN.min(self.keep / 2) < self.keep
+        now.since(self.idle_since) + KEEP_ALIVE_MARGIN.min(self.keep_alive / 2) < self.keep_alive
     }
 }
 
-/// Connections that rest between calls, by address.
+/// Connections that are idle between calls, by address.
 #[derive(Debug, Clone, Default)]
 pub(super) struct IdleConnections {
     clock: HostClock,
-    servers: Arc<Mutex<HashMap<SocketAddr, KeptConnections>>>,
+    servers: Arc<Mutex<HashMap<SocketAddr, AddressConnections>>>,
 }
 
 /// The connections of one address.
 #[derive(Debug, Default)]
-struct KeptConnections {
+struct AddressConnections {
     idle: Vec<IdleConnection>,
-    /// When an answer without proof came from there.
+    /// When the last answer without proof arrived from this address.
     foreign_at: Option<TimePoint>,
-    /// When an answer last began to come from there.
-    heard_at: Option<TimePoint>,
+    /// When an answer last began to arrive from this address.
+    answered_at: Option<TimePoint>,
 }
 
-impl KeptConnections {
+impl AddressConnections {
     fn is_trusted(&self, now: TimePoint) -> bool {
-        self.foreign_at.is_none_or(|at| now.since(at) > FOREIGN_REST)
+        self.foreign_at.is_none_or(|at| now.since(at) > FOREIGN_COOLDOWN)
     }
 }
 
 impl IdleConnections {
-    /// The connection that rested least and has not carried `id`, unless it has rested for too long.
+    /// Takes the connection with the shortest idle time that has not carried `id`; `None` if that idle time exceeds
+    /// `max_idle`.
     pub fn take(
         &self,
         address: SocketAddr,
-        rested: Duration,
+        max_idle: Duration,
         id: Option<&HeaderValue>,
     ) -> Option<PooledConnection> {
         let now = self.clock.now();
         let mut servers = self.servers.lock().ok()?;
         let kept = servers.get_mut(&address)?;
         kept.idle.retain(|idle| idle.is_usable(now));
-        let place = kept.idle.iter().rposition(|idle| idle.connection.may_carry(id))?;
-        if now.since(kept.idle[place].since) > rested {
+        let index = kept.idle.iter().rposition(|idle| idle.connection.may_carry(id))?;
+        if now.since(kept.idle[index].idle_since) > max_idle {
             return None;
         }
-        Some(kept.idle.remove(place).connection)
+        Some(kept.idle.remove(index).connection)
     }
 
-    /// Keeps a connection for as long as its server does.
-    pub fn put(&self, address: SocketAddr, connection: PooledConnection, keep: Duration) {
+    /// Returns a connection to the pool; the server keeps it open for `keep_alive`.
+    pub fn put(&self, address: SocketAddr, connection: PooledConnection, keep_alive: Duration) {
         let now = self.clock.now();
         let Ok(mut servers) = self.servers.lock() else { return };
         let kept = servers.entry(address).or_default();
-        let is_spent = connection.sender.is_closed() || connection.calls >= MOST_CALLS;
-        if !is_spent && kept.is_trusted(now) && kept.idle.len() < IDLE_PER_ADDRESS {
-            kept.idle.push(IdleConnection { connection, since: now, keep });
+        let is_used_up = connection.sender.is_closed() || connection.calls >= MAX_CALLS;
+        if !is_used_up && kept.is_trusted(now) && kept.idle.len() < MAX_IDLE_PER_ADDRESS {
+            kept.idle.push(IdleConnection { connection, idle_since: now, keep_alive });
         }
     }
 
-    /// An answer began to come.
-    pub fn note_heard(&self, address: SocketAddr) {
+    /// Records that an answer began to arrive.
+    pub fn record_answer(&self, address: SocketAddr) {
         let now = self.clock.now();
         let Ok(mut servers) = self.servers.lock() else { return };
-        servers.entry(address).or_default().heard_at = Some(now);
+        servers.entry(address).or_default().answered_at = Some(now);
     }
 
-    /// A call leaves on a kept connection.
-    pub fn sent(&self, address: SocketAddr) -> SentCall {
-        SentCall { idle: self.clone(), address, sent_at: self.clock.now(), is_answered: false }
+    /// Records that a call is sent on a pooled connection.
+    pub fn start_call(&self, address: SocketAddr) -> PendingCall {
+        PendingCall { idle: self.clone(), address, sent_at: self.clock.now(), is_complete: false }
     }
 
-    /// A call that left on a kept connection at `sent_at` was given up without an answer.
-    fn note_unanswered(&self, address: SocketAddr, sent_at: TimePoint) {
+    /// Handles a call sent on a pooled connection at `sent_at` that was abandoned without an answer.
+    fn record_unanswered(&self, address: SocketAddr, sent_at: TimePoint) {
         let now = self.clock.now();
         let Ok(mut servers) = self.servers.lock() else { return };
         let Some(kept) = servers.get_mut(&address) else { return };
-        let is_heard = kept.heard_at.is_some_and(|at| at >= sent_at);
-        if is_heard || now.since(sent_at) < LEAST_SILENCE || kept.idle.is_empty() {
+        let is_responsive = kept.answered_at.is_some_and(|at| at >= sent_at);
+        if is_responsive || now.since(sent_at) < MIN_SILENCE || kept.idle.is_empty() {
             return;
         }
         log::info!(
@@ -152,15 +154,16 @@
         kept.idle.clear();
     }
 
-    /// An answer without proof came: its server may have given others twice as well.
-    pub fn note_foreign(&self, address: SocketAddr) {
+    /// Records an answer without proof. The idle connections to its server are closed, because it may have sent other
+    /// answers twice as well.
+    pub fn record_foreign(&self, address: SocketAddr) {
         let Ok(mut servers) = self.servers.lock() else { return };
         let kept = servers.entry(address).or_default();
         kept.idle.clear();
         kept.foreign_at = Some(self.clock.now());
     }
 
-    /// Addresses to which a kept connection can be used now; those that can't be used any more are closed.
+    /// Returns the addresses that have a usable connection, and closes connections that are no longer usable.
     pub fn addresses(&self) -> HashSet<SocketAddr> {
         let now = self.clock.now();
         let Ok(mut servers) = self.servers.lock() else { return HashSet::new() };
@@ -173,45 +176,45 @@
     }
 }
 
-/// A call under way on a kept connection. Dropped without an answer, while nothing else came from its server either, it
-/// ends the use of the other kept connections there: those that are open may fall silent together without an end, and
-/// each would cost one more request.
+/// A call in flight on a pooled connection. If it is dropped without an answer, and no other answer has arrived from its
+/// server since, the idle connections to this server are closed: all open connections may stop responding at once
+/// without being closed, and each one would fail another request.
 #[derive(Debug)]
-pub(super) struct SentCall {
+pub(super) struct PendingCall {
     idle: IdleConnections,
     address: SocketAddr,
     sent_at: TimePoint,
-    is_answered: bool,
+    is_complete: bool,
 }
 
-impl SentCall {
-    /// Its answer began to come, or its connection broke.
-    pub fn ended(mut self) {
-        self.is_answered = true;
+impl PendingCall {
+    /// Marks the call as complete: its answer began to arrive, or its connection broke.
+    pub fn complete(mut self) {
+        self.is_complete = true;
     }
 }
 
-impl Drop for SentCall {
+impl Drop for PendingCall {
     fn drop(&mut self) {
-        if !self.is_answered {
-            self.idle.note_unanswered(self.address, self.sent_at);
+        if !self.is_complete {
+            self.idle.record_unanswered(self.address, self.sent_at);
         }
     }
 }
 
-/// How long a server keeps the connection of this answer; `None` if it closes it.
-pub(super) fn stated_keep(headers: &HeaderMap) -> Option<Duration> {
+/// Reads from an answer's headers how long the server keeps the connection open; `None` if it closes the connection.
+pub(super) fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     if text("connection").is_some_and(|value| value.to_ascii_lowercase().contains("close")) {
         return None;
     }
     let Some(stated) = text("keep-alive") else {
-        return Some(UNSTATED_KEEP);
+        return Some(DEFAULT_KEEP_ALIVE);
     };
     let digits: String = stated
         .chars()
         .skip_while(|character| !character.is_ascii_digit())
         .take_while(char::is_ascii_digit)
         .collect();
-    Some(digits.parse().map_or(UNSTATED_KEEP, Duration::from_secs))
+    Some(digits.parse().map_or(DEFAULT_KEEP_ALIVE, Duration::from_secs))
 }
--- a/src/engines/line_stream.rs
+++ b/src/engines/line_stream.rs
@@ -3,41 +3,41 @@
 use bytes::BytesMut;
 use http_body_util::BodyExt;
 
-const LONGEST_LINE: usize = 1 << 20;
+const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// Reads a stream of one event a line, each as soon as it arrives.
+/// Reads a stream with one event per line, and yields each event as soon as it arrives.
 #[derive(Debug)]
 pub struct LineStream {
     body: PooledBody,
     buffer: BytesMut,
-    /// Whether the last event has come.
-    ended: bool,
+    /// Whether the last event has arrived.
+    is_complete: bool,
 }
 
 impl LineStream {
-    /// Reads lines from `body`.
+    /// Creates a reader of the lines of `body`.
     pub fn new(body: PooledBody) -> Self {
-        Self { body, buffer: BytesMut::new(), ended: false }
+        Self { body, buffer: BytesMut::new(), is_complete: false }
     }
 
-    /// The next event, or none after the last one of a whole stream. Safe to drop while it waits.
+    /// Returns the next event, or `None` after the last event of a complete stream. Cancel-safe.
     ///
     /// # Errors
-    /// [`Error::Truncated`] if the body ends without the last event; any other error if the connection breaks
-    /// or a line is malformed.
+    /// [`Error::Truncated`] if the body ends without the last event; any other error if the connection breaks or a line
+    /// is malformed.
     pub async fn next(&mut self) -> Result<Option<StreamEvent>> {
         loop {
             if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
                 let line = self.buffer.split_to(end + 1);
                 let event: StreamEvent = serde_json::from_slice(&line)?;
-                self.ended |= event.is_last();
+                self.is_complete |= event.is_last();
                 return Ok(Some(event));
             }
-            if self.buffer.len() > LONGEST_LINE {
+            if self.buffer.len() > MAX_LINE_BYTES {
                 return Err(Error::Protocol("a line is too long".to_owned()));
             }
             let Some(frame) = self.body.frame().await else {
-                return self.end();
+                return self.finish();
             };
             if let Ok(data) = frame?.into_data() {
                 self.buffer.extend_from_slice(&data);
@@ -45,9 +45,10 @@
         }
     }
 
-    /// An engine that gives up a stream may end the body in good order: only the last event makes it whole.
-    fn end(&mut self) -> Result<Option<StreamEvent>> {
-        if !self.ended || !self.buffer.is_empty() {
+    /// Ends the stream. An engine that abandons a stream may end its body properly, so a stream is complete only with
+    /// its last event.
+    fn finish(&mut self) -> Result<Option<StreamEvent>> {
+        if !self.is_complete || !self.buffer.is_empty() {
             return Err(Error::Truncated);
         }
         self.body.keep_connection();
--- a/src/engines/mod.rs
+++ b/src/engines/mod.rs
@@ -1,8 +1,8 @@
-//! Engines is the edge to backend servers: model engines and plain services, by HTTP.
+//! HTTP clients of the backend servers: model engines and plain services.
 //!
-//! `hyper` serves here instead of `ureq`, because a stream that waits for its next token must be
-//! cancellable at once. Each call to a model engine has an id of its own in the header [`CALL_ID`], which
-//! the engine sends back; servers that send nothing back get a connection for each call.
+//! They use `hyper` instead of `ureq`, because a stream that waits for its next token must be cancellable at once. Each
+//! call to a model engine carries its own id in the header [`CALL_ID`], which the engine repeats in its answer. A server
+//! that does not repeat it gets a new connection for each call.
 
 mod answer_proof;
 mod engine_client;
--- a/src/engines/pooled_body.rs
+++ b/src/engines/pooled_body.rs
@@ -10,36 +10,44 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Where a connection goes back to.
+/// How a connection is returned to the pool.
 #[derive(Debug)]
 pub(super) struct ReturnPath {
     pub idle: IdleConnections,
     pub address: SocketAddr,
     pub connection: PooledConnection,
-    pub keep: Duration,
+    pub keep_alive: Duration,
 }
 
-/// A response body. Its connection is closed unless the reader says that the answer was the one asked for.
+/// A response body. Its connection is closed unless the reader confirms that the answer belongs to its call.
 #[derive(Debug)]
 pub struct PooledBody {
     incoming: Incoming,
-    back: Option<ReturnPath>,
+    return_path: Option<ReturnPath>,
     has_explicit_end: bool,
-    ended: bool,
+    is_complete: bool,
 }
 
 impl PooledBody {
-    pub(super) fn new(response: Response<Incoming>, back: Option<ReturnPath>) -> Response<Self> {
+    pub(super) fn new(
+        response: Response<Incoming>,
+        return_path: Option<ReturnPath>,
+    ) -> Response<Self> {
         let has_explicit_end = has_explicit_end(&response);
-        response.map(|incoming| Self { incoming, back, has_explicit_end, ended: false })
+        response.map(|incoming| Self {
+            incoming,
+            return_path,
+            has_explicit_end,
+            is_complete: false,
+        })
     }
 
-    /// Whether the answer says where it ends, and not only the end of its connection.
+    /// Whether the end of the answer is explicit, not only implied by the end of its connection.
     pub fn has_explicit_end(&self) -> bool {
         self.has_explicit_end
     }
 
-    /// Reads the whole body of an answer that is known to be the one asked for.
+    /// Reads the whole body of an answer that is known to belong to its call.
     ///
     /// # Errors
     /// If the connection breaks first.
@@ -47,7 +55,7 @@
         self.read_with(|bytes| Ok(bytes.clone())).await
     }
 
-    /// Reads the whole body; the connection is kept only if `read` knows it as the answer asked for.
+    /// Reads the whole body. The connection is reused only if `read` recognises the answer as belonging to its call.
     ///
     /// # Errors
     /// If the connection breaks first, or `read` fails.
@@ -58,28 +66,28 @@
         Ok(value)
     }
 
-    /// The same for a body of at most `longest` bytes whose next piece is waited for as long as `patience` says,
-    /// given how many bytes have come.
+    /// Like [`Self::read_with`], but for a body of at most `max_bytes`. `timeout` returns how long to wait for the next
+    /// chunk, given the number of bytes received so far.
     ///
     /// # Errors
-    /// [`Error::TooLong`] and [`Error::Timeout`] if it is longer, or a piece does not come; any other if the
-    /// connection breaks first, or `read` fails.
+    /// [`Error::TooLong`] if the body is longer, [`Error::Timeout`] if a chunk does not arrive in time; any other error
+    /// if the connection breaks first, or `read` fails.
     pub async fn read_limited<T>(
         mut self,
-        longest: usize,
-        patience: impl Fn(usize) -> Duration,
+        max_bytes: usize,
+        timeout: impl Fn(usize) -> Duration,
         read: impl FnOnce(&Bytes) -> Result<T>,
     ) -> Result<T> {
-        let stated = usize::try_from(self.incoming.size_hint().lower()).unwrap_or(usize::MAX);
+        let stated_bytes = usize::try_from(self.incoming.size_hint().lower()).unwrap_or(usize::MAX);
         let mut bytes = BytesMut::new();
         loop {
-            if stated.max(bytes.len()) > longest {
+            if stated_bytes.max(bytes.len()) > max_bytes {
                 return Err(Error::TooLong { received: bytes.len() });
             }
-            let next = tokio::time::timeout(patience(bytes.len()), self.frame()).await;
+            let next = tokio::time::timeout(timeout(bytes.len()), self.frame()).await;
             let Some(frame) = next.map_err(|_elapsed| Error::Timeout)? else { break };
-            if let Ok(piece) = frame?.into_data() {
-                bytes.extend_from_slice(&piece);
+            if let Ok(chunk) = frame?.into_data() {
+                bytes.extend_from_slice(&chunk);
             }
         }
         let bytes = bytes.freeze();
@@ -88,15 +96,16 @@
         Ok(value)
     }
 
-    /// The answer was whole and the one asked for: its connection may carry further calls.
+    /// Returns the connection to the pool if the body was read to its end. The answer must be known to belong to its
+    /// call.
     pub fn keep_connection(&mut self) {
-        if let Some(back) = self.back.take().filter(|_| self.ended) {
-            back.idle.put(back.address, back.connection, back.keep);
+        if let Some(path) = self.return_path.take().filter(|_| self.is_complete) {
+            path.idle.put(path.address, path.connection, path.keep_alive);
         }
     }
 }
 
-/// Whether an answer says where it ends: if it breaks off before, that shows.
+/// Whether an answer has an explicit end: a length or chunked encoding. Only then is a truncated answer detected.
 pub fn has_explicit_end(response: &Response<Incoming>) -> bool {
     let is_chunked = response.headers().contains_key(TRANSFER_ENCODING);
     is_chunked || response.body().size_hint().exact().is_some()
@@ -111,12 +120,12 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<std::result::Result<Frame<Bytes>, hyper::Error>>> {
         let polled = Pin::new(&mut self.incoming).poll_frame(cx);
-        self.ended |= matches!(polled, Poll::Ready(None));
+        self.is_complete |= matches!(polled, Poll::Ready(None));
         polled
     }
 
     fn is_end_stream(&self) -> bool {
-        // Bodies are always polled to `None`, so that their end is known.
+        // Always false, so that bodies are polled to `None` and `is_complete` is set.
         false
     }
 }
--- a/src/streams/event_splitter.rs
+++ b/src/streams/event_splitter.rs
@@ -1,33 +1,33 @@
 use bytes::{Bytes, BytesMut};
 
-/// An event longer than this is a broken stream.
-const LONGEST_EVENT: usize = 1 << 20;
+/// Maximum size of an event; a longer one means that the stream is broken.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One whole server-sent event, as it arrived.
+/// A complete server-sent event, as received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerSentEvent {
-    /// Its number, if it has one.
+    /// The number in the event's `id` field, if any.
     pub number: Option<u64>,
-    /// Its bytes, with the blank line that ends it.
+    /// The bytes of the event, including the blank line that ends it.
     pub bytes: Bytes,
 }
 
-/// Cuts a stream of bytes into whole events, so that a server that breaks off within one leaves
-/// no part of it with the caller.
+/// Splits a stream of bytes into complete events, so that a caller never receives part of an event if the server breaks
+/// off within it.
 #[derive(Debug, Clone, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// Bytes at the front that hold no end of an event.
+    /// Number of bytes at the front that were already searched for the end of an event.
     searched: usize,
 }
 
 impl EventSplitter {
-    /// Takes over bytes that arrived.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<ServerSentEvent> {
         let end = self.find_end()?;
         self.searched = 0;
@@ -35,26 +35,26 @@
         Some(ServerSentEvent { number: read_number(&bytes), bytes })
     }
 
-    /// Bytes after the last whole event.
+    /// Returns the bytes after the last complete event.
     pub fn rest(&self) -> &[u8] {
         &self.buffer
     }
 
-    /// Whether the event under way is longer than any proper one.
+    /// Whether the incomplete event exceeds the maximum size.
     pub fn is_overlong(&self) -> bool {
-        self.buffer.len() > LONGEST_EVENT
+        self.buffer.len() > MAX_EVENT_BYTES
     }
 
-    /// Where the first event ends: after a blank line, with either kind of line end.
+    /// Finds the end of the first event: after a blank line, with LF or CRLF line endings.
     fn find_end(&mut self) -> Option<usize> {
-        let from = self.searched.saturating_sub(3);
-        for place in from..self.buffer.len() {
-            let rest = &self.buffer[place..];
+        let start = self.searched.saturating_sub(3);
+        for offset in start..self.buffer.len() {
+            let rest = &self.buffer[offset..];
             if rest.starts_with(b"\n\n") {
-                return Some(place + 2);
+                return Some(offset + 2);
             }
             if rest.starts_with(b"\n\r\n") {
-                return Some(place + 3);
+                return Some(offset + 3);
             }
         }
         self.searched = self.buffer.len();
--- a/src/streams/mod.rs
+++ b/src/streams/mod.rs
@@ -1,6 +1,6 @@
-//! Streams keeps one caller's answer whole: tokens in order, each once, from the right attempt.
+//! Keeps a caller's answer consistent: each token is written once, in order, and from the current attempt.
 //!
-//! Inputs are tokens with their index and attempt; orders are what to write and what to cancel.
+//! The inputs are tokens with their index and attempt; the results say what to write and what to cancel.
 
 mod event_splitter;
 mod token_ledger;
--- a/src/streams/token_ledger.rs
+++ b/src/streams/token_ledger.rs
@@ -1,19 +1,19 @@
 use crate::keys::AttemptId;
 
-/// What to do with a token that arrived.
+/// What to do with a received token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TokenVerdict {
-    /// It is the next one: write it to the caller.
+    /// The token is the next one: write it to the caller.
     Write,
-    /// It was written before: drop it.
+    /// The token was already written: drop it.
     Duplicate,
-    /// It comes from an attempt that was given up: drop it and cancel the attempt.
+    /// The token comes from an attempt that was replaced: drop it and cancel the attempt.
     Stale,
-    /// Tokens before it are missing: the attempt is broken.
+    /// Earlier tokens are missing: the attempt is broken.
     Gap,
 }
 
-/// The record of one answer: which attempt may write, and from which index.
+/// The state of one answer: which attempt may write, and at which index it continues.
 #[derive(Debug, Clone)]
 pub struct TokenLedger {
     current: Option<AttemptId>,
@@ -28,25 +28,25 @@
 }
 
 impl TokenLedger {
-    /// An answer of which nothing is written.
+    /// Creates the ledger of an answer before its first token.
     pub const fn new() -> Self {
         Self { current: None, next_index: 0, finished: false }
     }
 
-    /// Makes `attempt` the only one that may write; returns the one it replaces.
+    /// Makes `attempt` the only one that may write; returns the attempt that it replaces.
     pub fn switch_to(&mut self, attempt: AttemptId) -> Option<AttemptId> {
-        self.current.replace(attempt).filter(|old| *old != attempt)
+        self.current.replace(attempt).filter(|previous| *previous != attempt)
     }
 
-    /// Index of the next token to write.
+    /// Returns the index of the next token to write.
     pub const fn next_index(&self) -> u32 {
         self.next_index
     }
 
-    /// Judges a token; [`TokenVerdict::Write`] advances the record.
+    /// Decides what to do with a token; [`TokenVerdict::Write`] advances the ledger.
     ///
-    /// The open of a stream records nothing: only a written token does (the paper's July fault
-    /// counted the open as the first commit and lost the first token on a retry).
+    /// Only a written token advances the ledger, not the opening of a stream: counting the opening as the first commit
+    /// would lose the first token on a retry.
     pub fn admit(&mut self, attempt: AttemptId, index: u32) -> TokenVerdict {
         if self.current != Some(attempt) || self.finished {
             return TokenVerdict::Stale;
@@ -61,10 +61,11 @@
         }
     }
 
-    /// Ends the answer; true only for the current attempt, and only once.
+    /// Ends the answer after `total` tokens. Returns true only if all of them were written by or before the current
+    /// `attempt`, and only once.
     pub fn finish(&mut self, attempt: AttemptId, total: u32) -> bool {
-        let whole = self.current == Some(attempt) && !self.finished && total == self.next_index;
-        self.finished |= whole;
-        whole
+        let complete = self.current == Some(attempt) && !self.finished && total == self.next_index;
+        self.finished |= complete;
+        complete
     }
 }
