--- a/src/callers/answer_body.rs
+++ b/src/callers/answer_body.rs
@@ -8,35 +8,41 @@
 use std::task::{Context, Poll, ready};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// An answer as server-sent events; each token leaves when it arrives. Without its last part it breaks off.
+/// A response body of server-sent events that forwards each token as it arrives. If the parts end
+/// before the final one, the body ends with an error.
 #[derive(Debug)]
 pub struct AnswerBody {
-    request: String,
+    request_id: String,
     first: Option<AnswerPart>,
     parts: UnboundedReceiver<AnswerPart>,
     ended: bool,
 }
 
 impl AnswerBody {
-    /// The answer to `request`, whose parts come by `parts`; the first one is there already.
-    pub fn new(request: String, first: AnswerPart, parts: UnboundedReceiver<AnswerPart>) -> Self {
-        Self { request, first: Some(first), parts, ended: false }
+    /// Creates the body of the answer to `request_id` from the first part, already received, and
+    /// the channel of the remaining ones.
+    pub fn new(
+        request_id: String,
+        first: AnswerPart,
+        parts: UnboundedReceiver<AnswerPart>,
+    ) -> Self {
+        Self { request_id, first: Some(first), parts, ended: false }
     }
 
-    fn event(&mut self, part: AnswerPart) -> Bytes {
+    fn encode_event(&mut self, part: AnswerPart) -> Bytes {
         let text = match part {
             AnswerPart::Token(text) => {
-                let chunk = json!({"id": self.request, "object": "text_completion",
+                let chunk = json!({"id": self.request_id, "object": "text_completion",
                     "choices": [{"index": 0, "text": text, "finish_reason": null}]});
                 format!("data: {chunk}\n\n")
             }
             AnswerPart::Done(finish) => {
                 self.ended = true;
-                let chunk = json!({"id": self.request, "object": "text_completion",
+                let chunk = json!({"id": self.request_id, "object": "text_completion",
                     "choices": [{"index": 0, "text": "", "finish_reason": finish}]});
                 format!("data: {chunk}\n\ndata: [DONE]\n\n")
             }
-            AnswerPart::Broken(answer) => {
+            AnswerPart::Failed(answer) => {
                 self.ended = true;
                 format!("event: error\ndata: {}\n\n", CallerError::from(answer).json())
             }
@@ -61,12 +67,13 @@
             None => ready!(self.parts.poll_recv(cx)),
         };
         let Some(part) = part else {
-            // The task that makes the answer is gone, by a panic or a stop. The body must break off here:
-            // the end of the channel would reach the caller as the end of a whole answer.
-            log::warn!("event=answer_cut request={}", self.request);
+            // The task that produces the answer is gone, through a panic or a shutdown. The body
+            // must fail here: a regular end would look to the caller like the end of a whole
+            // answer.
+            log::warn!("event=answer_cut request={}", self.request_id);
             self.ended = true;
             return Poll::Ready(Some(Err(Error::Truncated)));
         };
-        Poll::Ready(Some(Ok(Frame::data(self.event(part)))))
+        Poll::Ready(Some(Ok(Frame::data(self.encode_event(part)))))
     }
 }
--- a/src/callers/caller_error.rs
+++ b/src/callers/caller_error.rs
@@ -1,38 +1,38 @@
 use super::{CallerResponse, whole_response};
-use crate::host::FinalAnswer;
+use crate::host::AnswerFailure;
 use bytes::Bytes;
 use hyper::StatusCode;
 use serde_json::json;
 use std::time::Duration;
 
-/// What the caller may conclude from an error.
+/// What an error says about whether the request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ErrorOutcome {
     /// The request did not run; it is safe to send it again.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// The answer exists and went, or is going, to another connection.
+    /// The request ran, and its answer is delivered to another connection.
     Whole,
 }
 
-/// The one shape of all errors that callers see.
+/// An error response to a caller; all errors have this format.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerError {
     /// HTTP status.
     pub status: StatusCode,
-    /// What may be concluded.
+    /// Whether the request ran.
     pub outcome: ErrorOutcome,
-    /// A short code for programs.
+    /// Machine-readable reason code.
     pub reason: String,
-    /// A sentence for people.
+    /// Human-readable message.
     pub message: String,
-    /// When to come back, if that helps.
+    /// Delay before a retry, if a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl CallerError {
-    /// A malformed request: it did not run, and repeating it unchanged does not help.
+    /// Error for an invalid request: it did not run, and an unchanged retry would fail as well.
     pub fn invalid(reason: &str, message: impl Into<String>) -> Self {
         Self {
             status: StatusCode::BAD_REQUEST,
@@ -43,24 +43,24 @@
         }
     }
 
-    /// The router itself broke the request; nobody can say any more whether it ran.
+    /// Error for a failure inside the router, after which it is unknown whether the request ran.
     pub fn internal() -> Self {
         Self {
             status: StatusCode::INTERNAL_SERVER_ERROR,
             outcome: ErrorOutcome::Unknown,
             reason: "internal".to_owned(),
-            message: "the request broke inside the router; it may have run".to_owned(),
+            message: "the router failed while handling the request, which may have run".to_owned(),
             retry_after: None,
         }
     }
 
-    /// The same error under another status.
+    /// Returns the same error with another status.
     #[must_use]
     pub fn with_status(self, status: StatusCode) -> Self {
         Self { status, ..self }
     }
 
-    /// The JSON body.
+    /// Encodes the JSON body.
     pub fn json(&self) -> serde_json::Value {
         let outcome = match self.outcome {
             ErrorOutcome::NotRun => "not_run",
@@ -75,7 +75,7 @@
         }})
     }
 
-    /// The whole response.
+    /// Creates the HTTP response.
     pub fn response(&self) -> CallerResponse {
         let body = Bytes::from(self.json().to_string());
         let mut response = whole_response(self.status, "application/json", body);
@@ -87,17 +87,17 @@
     }
 }
 
-impl From<FinalAnswer> for CallerError {
-    fn from(answer: FinalAnswer) -> Self {
+impl From<AnswerFailure> for CallerError {
+    fn from(answer: AnswerFailure) -> Self {
         let (outcome, status, reason, retry_after, message) = match answer {
-            FinalAnswer::NotRun { reason, retry_after } => (
+            AnswerFailure::NotRun { reason, retry_after } => (
                 ErrorOutcome::NotRun,
                 StatusCode::SERVICE_UNAVAILABLE,
                 reason,
                 retry_after,
                 "the request did not run; send it again after the given time",
             ),
-            FinalAnswer::Unknown { reason, retry_after } => (
+            AnswerFailure::Unknown { reason, retry_after } => (
                 ErrorOutcome::Unknown,
                 StatusCode::BAD_GATEWAY,
                 reason,
--- a/src/callers/caller_headers.rs
+++ b/src/callers/caller_headers.rs
@@ -5,10 +5,10 @@
 use hyper::{HeaderMap, StatusCode};
 use std::time::Duration;
 
-/// Longest idempotency key, in bytes.
-pub(super) const LONGEST_KEY: usize = 200;
+/// Maximum length of an idempotency key, in bytes.
+pub(super) const MAX_KEY_BYTES: usize = 200;
 
-/// The checked headers of a caller's request.
+/// The validated headers of a caller's request.
 #[derive(Debug, Clone)]
 pub(super) struct CallerHeaders {
     pub organisation: String,
@@ -20,15 +20,15 @@
 }
 
 impl CallerHeaders {
-    /// Checks the headers against the configuration in force.
+    /// Reads the headers and validates them against the configuration in force.
     pub fn read(headers: &HeaderMap, config: &ClusterConfig) -> Result<Self, CallerError> {
-        let organisation = required(headers, "tealcleat-organisation")?;
+        let organisation = required_text(headers, "tealcleat-organisation")?;
         if !config.organisations.iter().any(|org| org.name == organisation) {
             let message = format!("organisation {organisation:?} is not admitted");
             let error = CallerError::invalid("unknown_organisation", message);
             return Err(error.with_status(StatusCode::FORBIDDEN));
         }
-        let name = required(headers, "tealcleat-class")?;
+        let name = required_text(headers, "tealcleat-class")?;
         let class = config.class(&name).cloned().ok_or_else(|| {
             CallerError::invalid(
                 "unknown_class",
@@ -38,15 +38,15 @@
         Ok(Self {
             organisation,
             class,
-            deadline: deadline(headers)?,
-            key: key(headers)?,
-            ticket: ticket(headers)?,
-            trace: trace(headers),
+            deadline: read_deadline(headers)?,
+            key: read_key(headers)?,
+            ticket: read_ticket(headers)?,
+            trace: read_trace(headers),
         })
     }
 }
 
-fn text(headers: &HeaderMap, name: &str) -> Result<Option<String>, CallerError> {
+fn header_text(headers: &HeaderMap, name: &str) -> Result<Option<String>, CallerError> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
@@ -56,14 +56,14 @@
     Ok(Some(text.to_owned()))
 }
 
-fn required(headers: &HeaderMap, name: &str) -> Result<String, CallerError> {
-    text(headers, name)?
+fn required_text(headers: &HeaderMap, name: &str) -> Result<String, CallerError> {
+    header_text(headers, name)?
         .filter(|value| !value.is_empty())
         .ok_or_else(|| CallerError::invalid("missing_header", format!("header {name} is missing")))
 }
 
-fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, CallerError> {
-    let Some(value) = text(headers, "tealcleat-deadline-ms")? else {
+fn read_deadline(headers: &HeaderMap) -> Result<Option<Duration>, CallerError> {
+    let Some(value) = header_text(headers, "tealcleat-deadline-ms")? else {
         return Ok(None);
     };
     let millis: i64 = value.parse().map_err(|_error| {
@@ -77,26 +77,27 @@
     Ok(Some(Duration::from_millis(millis.unsigned_abs())))
 }
 
-fn key(headers: &HeaderMap) -> Result<Option<String>, CallerError> {
-    let key = text(headers, "idempotency-key")?.filter(|key| !key.is_empty());
-    if key.as_ref().is_some_and(|key| key.len() > LONGEST_KEY) {
-        let message = format!("idempotency-key is longer than {LONGEST_KEY} bytes");
+fn read_key(headers: &HeaderMap) -> Result<Option<String>, CallerError> {
+    let key = header_text(headers, "idempotency-key")?.filter(|key| !key.is_empty());
+    if key.as_ref().is_some_and(|key| key.len() > MAX_KEY_BYTES) {
+        let message = format!("idempotency-key is longer than {MAX_KEY_BYTES} bytes");
         return Err(CallerError::invalid("key_too_long", message));
     }
     Ok(key)
 }
 
-fn ticket(headers: &HeaderMap) -> Result<Option<TicketId>, CallerError> {
-    let Some(value) = text(headers, "tealcleat-ticket")? else {
+fn read_ticket(headers: &HeaderMap) -> Result<Option<TicketId>, CallerError> {
+    let Some(value) = header_text(headers, "tealcleat-ticket")? else {
         return Ok(None);
     };
-    let parsed =
+    let ticket =
         value.parse().map_err(|error: String| CallerError::invalid("invalid_ticket", error));
-    parsed.map(Some)
+    ticket.map(Some)
 }
 
-/// A malformed `traceparent` starts a new trace, as the W3C recommendation asks.
-fn trace(headers: &HeaderMap) -> TraceParent {
+/// Reads the `traceparent` header; a missing or malformed one starts a new trace, as the W3C Trace
+/// Context recommendation specifies.
+fn read_trace(headers: &HeaderMap) -> TraceParent {
     let given = headers.get("traceparent").and_then(|value| value.to_str().ok());
     given.and_then(|text| text.parse().ok()).unwrap_or_else(TraceParent::new_trace)
 }
--- a/src/callers/caller_server.rs
+++ b/src/callers/caller_server.rs
@@ -14,9 +14,9 @@
 use tokio::net::TcpListener;
 
 const HEADER_TIMEOUT: Duration = Duration::from_secs(15);
-const DRAIN_COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Serves callers until the listener fails.
+/// Accepts and serves callers' connections for as long as the daemon runs.
 pub async fn serve_callers(listener: TcpListener, host: Arc<HostState>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -26,7 +26,7 @@
         let _ = stream.set_nodelay(true);
         let host = Arc::clone(&host);
         tokio::spawn(async move {
-            let service = service_fn(move |request| answer(Arc::clone(&host), request));
+            let service = service_fn(move |request| respond(Arc::clone(&host), request));
             let connection = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
                 .header_read_timeout(HEADER_TIMEOUT)
@@ -38,7 +38,7 @@
     }
 }
 
-async fn answer(
+async fn respond(
     host: Arc<HostState>,
     request: Request<Incoming>,
 ) -> Result<CallerResponse, Infallible> {
@@ -56,22 +56,22 @@
     let (parts, body) = request.into_parts();
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str()).to_owned();
     if path == "/healthz" {
-        return Ok(plain(StatusCode::OK, "ok\n"));
+        return Ok(text_response(StatusCode::OK, "ok\n"));
     }
     if path == "/readyz" {
         let ready = host.is_ready();
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        return Ok(plain(status, if ready { "ready\n" } else { "not ready\n" }));
+        return Ok(text_response(status, if ready { "ready\n" } else { "not ready\n" }));
     }
     check_ready(host)?;
     let body = read_body(body, host.settings.body_limit_bytes).await?;
     match path.as_str() {
         "/v1/completions" => {
-            only_post(&parts.method)?;
+            require_post(&parts.method)?;
             complete(host, &parts.headers, &body).await
         }
         "/v1/tickets" => {
-            only_post(&parts.method)?;
+            require_post(&parts.method)?;
             issue_ticket(host)
         }
         other => match other.strip_prefix("/s/") {
@@ -91,12 +91,12 @@
         status: StatusCode::SERVICE_UNAVAILABLE,
         outcome: ErrorOutcome::NotRun,
         reason: reason.to_owned(),
-        message: "this host takes no requests now; another one may".to_owned(),
-        retry_after: Some(DRAIN_COME_BACK),
+        message: "this host does not accept requests now; another host may".to_owned(),
+        retry_after: Some(RETRY_AFTER),
     })
 }
 
-fn only_post(method: &Method) -> Result<(), CallerError> {
+fn require_post(method: &Method) -> Result<(), CallerError> {
     if method == Method::POST {
         return Ok(());
     }
@@ -112,10 +112,12 @@
             Err(CallerError::invalid("body_too_large", message)
                 .with_status(StatusCode::PAYLOAD_TOO_LARGE))
         }
-        Err(error) => Err(CallerError::invalid("broken_body", format!("the body broke: {error}"))),
+        Err(error) => {
+            Err(CallerError::invalid("broken_body", format!("the body could not be read: {error}")))
+        }
     }
 }
 
-fn plain(status: StatusCode, text: &'static str) -> CallerResponse {
+fn text_response(status: StatusCode, text: &'static str) -> CallerResponse {
     whole_response(status, "text/plain", Bytes::from_static(text.as_bytes()))
 }
--- a/src/callers/completion_body.rs
+++ b/src/callers/completion_body.rs
@@ -1,25 +1,25 @@
 use super::CallerError;
 use serde::Deserialize;
 
-/// Output tokens if the caller names none.
+/// Maximum number of output tokens if the caller states none.
 const DEFAULT_TOKENS: u32 = 128;
-/// Output tokens at most.
-const MOST_TOKENS: u32 = 4096;
+/// Largest maximum that a caller may state.
+const MAX_TOKENS: u32 = 4096;
 
-/// The body of a completion request, in the usual shape.
+/// The body of a completion request, in the widely used completions format.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct CompletionBody {
-    /// Model name.
+    /// Name of the model.
     pub model: String,
-    /// The prompt.
+    /// Prompt text.
     pub prompt: String,
-    /// Output tokens at most.
+    /// Maximum number of output tokens.
     #[serde(default = "default_tokens")]
     pub max_tokens: u32,
     /// Whether to answer with server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// An adapter of the model.
+    /// Adapter of the model, if any.
     #[serde(default)]
     pub adapter: Option<String>,
 }
@@ -39,9 +39,9 @@
         if body.prompt.trim().is_empty() {
             return Err(CallerError::invalid("empty_prompt", "the prompt is empty"));
         }
-        if !(1..=MOST_TOKENS).contains(&body.max_tokens) {
+        if !(1..=MAX_TOKENS).contains(&body.max_tokens) {
             let message =
-                format!("max_tokens must be from 1 to {MOST_TOKENS}, not {}", body.max_tokens);
+                format!("max_tokens must be from 1 to {MAX_TOKENS}, not {}", body.max_tokens);
             return Err(CallerError::invalid("invalid_max_tokens", message));
         }
         Ok(body)
--- a/src/callers/completion_route.rs
+++ b/src/callers/completion_route.rs
@@ -1,7 +1,7 @@
 use super::answer_body::AnswerBody;
 use super::caller_headers::CallerHeaders;
 use super::{CallerError, CallerResponse, CompletionBody, whole_response};
-use crate::host::{AnswerPart, CompletionAsk, HostState, run_completion};
+use crate::host::{AnswerPart, CompletionRequest, HostState, run_completion};
 use crate::intents::ClusterConfig;
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -10,7 +10,8 @@
 use std::sync::Arc;
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
-/// Answers a completion request; errors come before the first token, or as the last event.
+/// Handles a completion request. An error is returned as the response if no token was sent yet, and
+/// as the last event of a stream otherwise.
 pub(super) async fn complete(
     host: &Arc<HostState>,
     headers: &HeaderMap,
@@ -19,34 +20,35 @@
     let config = host.config();
     let headers = CallerHeaders::read(headers, &config)?;
     let body = CompletionBody::try_from(body)?;
-    let ask = check(host, &config, &headers, &body)?;
-    let (request, trace) = (ask.request.clone(), ask.trace);
+    let request = check_request(host, &config, &headers, &body)?;
+    let (request_id, trace) = (request.id.clone(), request.trace);
     let (sink, mut parts) = unbounded_channel();
-    // A task of its own: it notices by the closed channel that the caller left.
-    tokio::spawn(run_completion(Arc::clone(host), ask, sink));
+    // A separate task, which detects by the closed channel that the caller left.
+    tokio::spawn(run_completion(Arc::clone(host), request, sink));
     let first = parts.recv().await;
-    let name = request.parse();
+    let id_value = request_id.parse();
     let mut response = match first {
-        Some(AnswerPart::Broken(answer)) => CallerError::from(answer).response(),
+        Some(AnswerPart::Failed(answer)) => CallerError::from(answer).response(),
         None => CallerError::internal().response(),
-        Some(first) if body.stream => stream(request, first, parts),
-        Some(first) => collect(&body, request, first, parts).await,
+        Some(first) if body.stream => stream_response(request_id, first, parts),
+        Some(first) => collect_response(&body, request_id, first, parts).await,
     };
     if let Ok(value) = trace.to_string().parse() {
         response.headers_mut().insert("traceparent", value);
     }
-    if let Ok(value) = name {
+    if let Ok(value) = id_value {
         response.headers_mut().insert("tealcleat-request", value);
     }
     Ok(response)
 }
 
-fn check(
+/// Validates the request against the configuration.
+fn check_request(
     host: &HostState,
     config: &ClusterConfig,
     headers: &CallerHeaders,
     body: &CompletionBody,
-) -> Result<CompletionAsk, CallerError> {
+) -> Result<CompletionRequest, CallerError> {
     let model = config.model(&body.model).cloned().ok_or_else(|| {
         CallerError::invalid("unknown_model", format!("model {:?} is not served", body.model))
             .with_status(StatusCode::NOT_FOUND)
@@ -59,26 +61,27 @@
             CallerError::invalid("unknown_adapter", message).with_status(StatusCode::NOT_FOUND)
         );
     }
-    let promised = headers.class.first_token();
-    Ok(CompletionAsk {
-        request: format!("r-{}", host.new_attempt()),
+    let target = headers.class.first_token();
+    Ok(CompletionRequest {
+        id: format!("r-{}", host.new_attempt()),
         model,
         adapter: body.adapter.clone(),
         prompt: body.prompt.clone(),
         max_tokens: body.max_tokens,
         class: headers.class.clone(),
         organisation: headers.organisation.clone(),
-        first_token: headers.deadline.map_or(promised, |deadline| deadline.min(promised)),
+        first_token: headers.deadline.map_or(target, |deadline| deadline.min(target)),
         trace: headers.trace.child(),
     })
 }
 
-fn stream(
-    request: String,
+/// Streams the parts of an answer as server-sent events.
+fn stream_response(
+    request_id: String,
     first: AnswerPart,
     parts: UnboundedReceiver<AnswerPart>,
 ) -> CallerResponse {
-    let body = UnsyncBoxBody::new(AnswerBody::new(request, first, parts));
+    let body = UnsyncBoxBody::new(AnswerBody::new(request_id, first, parts));
     let mut response = Response::new(body);
     let headers = response.headers_mut();
     headers.insert("content-type", hyper::header::HeaderValue::from_static("text/event-stream"));
@@ -86,9 +89,10 @@
     response
 }
 
-async fn collect(
+/// Collects all parts of an answer into one JSON response.
+async fn collect_response(
     body: &CompletionBody,
-    request: String,
+    request_id: String,
     first: AnswerPart,
     mut parts: UnboundedReceiver<AnswerPart>,
 ) -> CallerResponse {
@@ -102,14 +106,14 @@
                 tokens += 1;
             }
             AnswerPart::Done(finish) => {
-                let answer = json!({"id": request, "object": "text_completion",
+                let answer = json!({"id": request_id, "object": "text_completion",
                     "model": body.model,
                     "choices": [{"index": 0, "text": text, "finish_reason": finish}],
                     "usage": {"completion_tokens": tokens}});
                 let bytes = Bytes::from(answer.to_string());
                 return whole_response(StatusCode::OK, "application/json", bytes);
             }
-            AnswerPart::Broken(answer) => return CallerError::from(answer).response(),
+            AnswerPart::Failed(answer) => return CallerError::from(answer).response(),
         }
         next = parts.recv().await;
     }
--- a/src/callers/mod.rs
+++ b/src/callers/mod.rs
@@ -1,7 +1,8 @@
-//! Callers is the edge to those who send requests: HTTP with server-sent events.
+//! The HTTP server for callers, which streams answers as server-sent events.
 //!
-//! `hyper` serves here instead of `rouille`: the first token leaves when it arrives, and a caller
-//! who leaves is noticed although nothing is being sent (docs/DEPENDENCIES.md has the trial).
+//! It uses `hyper` instead of `rouille` because `hyper` forwards each token as soon as it arrives
+//! and detects a caller who leaves while nothing is being sent (docs/DEPENDENCIES.md has the
+//! comparison).
 
 mod answer_body;
 mod caller_error;
@@ -22,10 +23,10 @@
 use http_body_util::{BodyExt, Full};
 use hyper::{Response, StatusCode};
 
-/// A response to a caller.
+/// An HTTP response to a caller.
 pub(crate) type CallerResponse = Response<UnsyncBoxBody<Bytes, Error>>;
 
-/// A whole response with a body of the given type.
+/// Creates a response with a complete body of the given content type.
 pub(crate) fn whole_response(status: StatusCode, kind: &str, body: Bytes) -> CallerResponse {
     let boxed = UnsyncBoxBody::new(Full::new(body).map_err(|never| match never {}));
     let mut response = Response::new(boxed);
--- a/src/callers/service_route.rs
+++ b/src/callers/service_route.rs
@@ -1,16 +1,16 @@
 use super::caller_headers::CallerHeaders;
 use super::{CallerError, CallerResponse, ErrorOutcome, whole_response};
 use crate::claims::StoredAnswer;
-use crate::host::{HostState, OnceAnswer, OnceAsk, forward_plain, run_once};
+use crate::host::{HostState, OnceOutcome, OnceRequest, forward_plain, run_once};
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, StatusCode};
 use serde_json::json;
 use std::sync::Arc;
 use std::time::Duration;
 
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Routes a call to a plain service: `/s/SERVICE/PATH`.
+/// Handles a call to a plain service: `/s/SERVICE/PATH`.
 pub(super) async fn call_service(
     host: &Arc<HostState>,
     method: &Method,
@@ -26,23 +26,23 @@
         CallerError::invalid("unknown_service", format!("service {name:?} is not routed"))
             .with_status(StatusCode::NOT_FOUND)
     })?;
-    let bare = path.split('?').next().unwrap_or(&path);
-    if !service.runs_once(method.as_str(), bare) {
+    let bare_path = path.split('?').next().unwrap_or(&path);
+    if !service.runs_once(method.as_str(), bare_path) {
         let forwarded =
             forward_plain(host, &service, method.as_str(), &path, body, headers.trace).await;
-        return forwarded.map(from_service).map_err(|error| CallerError {
+        return forwarded.map(service_response).map_err(|error| CallerError {
             status: StatusCode::BAD_GATEWAY,
             outcome: ErrorOutcome::Unknown,
             reason: "service_unreachable".to_owned(),
             message: format!("no server of the service answered: {error}"),
-            retry_after: Some(COME_BACK),
+            retry_after: Some(RETRY_AFTER),
         });
     }
     if headers.key.is_none() && headers.ticket.is_none() {
         let message = "this call must not be repeated: send an idempotency-key or a ticket";
         return Err(CallerError::invalid("missing_key", message));
     }
-    let ask = OnceAsk {
+    let request = OnceRequest {
         service,
         path,
         organisation: headers.organisation,
@@ -51,68 +51,68 @@
         body: body.to_vec(),
         trace: headers.trace.child(),
     };
-    match run_once(Arc::clone(host), ask).await {
-        OnceAnswer::Answer(answer) => Ok(from_service(answer)),
+    match run_once(Arc::clone(host), request).await {
+        OnceOutcome::Answer(answer) => Ok(service_response(answer)),
         other => Err(once_error(&other)),
     }
 }
 
-/// Issues a ticket for one call that must run at most once: `POST /v1/tickets`.
+/// Handles `POST /v1/tickets`: issues a ticket for one call that must run at most once.
 pub(super) fn issue_ticket(host: &HostState) -> Result<CallerResponse, CallerError> {
     let ticket = host.issue_ticket().ok_or_else(|| CallerError {
         status: StatusCode::SERVICE_UNAVAILABLE,
         outcome: ErrorOutcome::NotRun,
         reason: "too_many_tickets".to_owned(),
-        message: "too many tickets are out".to_owned(),
-        retry_after: Some(COME_BACK),
+        message: "too many tickets are outstanding".to_owned(),
+        retry_after: Some(RETRY_AFTER),
     })?;
     let body = json!({"ticket": ticket.to_string()}).to_string();
     Ok(whole_response(StatusCode::OK, "application/json", Bytes::from(body)))
 }
 
-fn from_service(answer: StoredAnswer) -> CallerResponse {
+fn service_response(answer: StoredAnswer) -> CallerResponse {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     whole_response(status, "application/json", Bytes::from(answer.body))
 }
 
-fn once_error(answer: &OnceAnswer) -> CallerError {
-    let (status, outcome, reason, message, retry_after) = match answer {
-        OnceAnswer::InProgress => (
+fn once_error(once_outcome: &OnceOutcome) -> CallerError {
+    let (status, outcome, reason, message, retry_after) = match once_outcome {
+        OnceOutcome::InProgress => (
             StatusCode::CONFLICT,
             ErrorOutcome::Unknown,
             "in_progress",
-            "the first attempt of this request still runs",
-            Some(COME_BACK),
+            "the first attempt of this request is still running",
+            Some(RETRY_AFTER),
         ),
-        OnceAnswer::AlreadyAnswered => (
+        OnceOutcome::AlreadyAnswered => (
             StatusCode::CONFLICT,
             ErrorOutcome::Whole,
             "already_answered",
-            "the request ran, and its answer went to another connection",
+            "the request ran, and its answer was delivered to another connection",
             None,
         ),
-        OnceAnswer::OtherBody => (
+        OnceOutcome::OtherBody => (
             StatusCode::UNPROCESSABLE_ENTITY,
             ErrorOutcome::Unknown,
             "key_reused",
             "the key was used with another body",
             None,
         ),
-        OnceAnswer::NotRun(reason) => (
+        OnceOutcome::NotRun(reason) => (
             StatusCode::SERVICE_UNAVAILABLE,
             ErrorOutcome::NotRun,
             *reason,
             "the request did not run; send it again after the given time",
-            Some(COME_BACK),
+            Some(RETRY_AFTER),
         ),
-        OnceAnswer::Unknown(reason) => (
+        OnceOutcome::Unknown(reason) => (
             StatusCode::BAD_GATEWAY,
             ErrorOutcome::Unknown,
             *reason,
             "an attempt of this request may have run",
-            Some(COME_BACK),
+            Some(RETRY_AFTER),
         ),
-        OnceAnswer::Answer(_) => unreachable!("an answer is no error"),
+        OnceOutcome::Answer(_) => unreachable!("an answer is not an error"),
     };
     let (reason, message) = (reason.to_owned(), message.to_owned());
     CallerError { status, outcome, reason, message, retry_after }
--- a/src/host/attempt_guard.rs
+++ b/src/host/attempt_guard.rs
@@ -1,4 +1,4 @@
-use super::AttemptStay;
+use super::AttemptState;
 use super::host_state::{HostState, lock};
 use crate::keys::{AttemptId, NameKey, ServerKey};
 use crate::peers::StopReport;
@@ -10,32 +10,38 @@
 const CANCEL_TRIES: u32 = 4;
 const CANCEL_PAUSE: Duration = Duration::from_millis(150);
 
-/// A server that an attempt uses.
+/// A server that an attempt uses, with its domain and address.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct UsedServer {
+pub(super) struct ServerLocation {
     pub key: ServerKey,
     pub domain: NameKey,
     pub address: SocketAddr,
 }
 
-/// Gives back what an attempt holds, however it ends: by return, failure or a caller who left.
+/// Releases what an attempt holds when dropped, whether it succeeds, fails or loses its caller.
 #[derive(Debug)]
 pub(super) struct AttemptGuard {
     host: Arc<HostState>,
     attempt: AttemptId,
-    prefill: Option<UsedServer>,
-    decode: Option<UsedServer>,
+    prefill: Option<ServerLocation>,
+    decode: Option<ServerLocation>,
     on_prefill_engine: bool,
     on_decode_engine: bool,
-    end: StopReport,
-    reports: bool,
+    final_report: StopReport,
+    reports_to_owner: bool,
 }
 
 impl AttemptGuard {
-    /// Registers an attempt; `reports` tells whether owners of books are to hear of it.
-    pub fn new(host: &Arc<HostState>, attempt: AttemptId, max_tokens: u32, reports: bool) -> Self {
+    /// Registers an attempt; `reports_to_owner` is whether its progress is reported to the owners
+    /// of its servers.
+    pub fn new(
+        host: &Arc<HostState>,
+        attempt: AttemptId,
+        max_tokens: u32,
+        reports_to_owner: bool,
+    ) -> Self {
         let claim = SlotClaim { attempt, running: false, max_tokens };
-        lock(&host.attempts).insert(attempt, AttemptStay { decode: None, claim });
+        lock(&host.attempts).insert(attempt, AttemptState { decode: None, claim });
         Self {
             host: Arc::clone(host),
             attempt,
@@ -43,75 +49,75 @@
             decode: None,
             on_prefill_engine: false,
             on_decode_engine: false,
-            end: StopReport::GivenUp,
-            reports,
+            final_report: StopReport::GivenUp,
+            reports_to_owner,
         }
     }
 
-    /// A decode slot is held.
-    pub fn hold_decode(&mut self, server: UsedServer) {
+    /// Records that a decode slot is held.
+    pub fn hold_decode(&mut self, server: ServerLocation) {
         self.decode = Some(server);
-        self.note_stay(|stay| stay.decode = Some(server.key));
+        self.update_state(|state| state.decode = Some(server.key));
     }
 
-    /// The held slot is no longer wanted.
-    pub fn drop_decode(&mut self) {
+    /// Releases the held slot.
+    pub fn release_decode(&mut self) {
         if let Some(server) = self.decode.take() {
-            self.tell(server, StopReport::GivenUp);
-            self.note_stay(|stay| stay.decode = None);
+            self.send_report(server, StopReport::GivenUp);
+            self.update_state(|state| state.decode = None);
         }
     }
 
-    /// The prefill engine gets the attempt.
-    pub fn begin_prefill(&mut self, server: UsedServer) {
+    /// Records that the prefill is sent to its engine.
+    pub fn begin_prefill(&mut self, server: ServerLocation) {
         self.prefill = Some(server);
         self.on_prefill_engine = true;
     }
 
-    /// The prefill engine is done with the attempt, one way or the other.
+    /// Records how the prefill ended; after a failure the engine may still hold the attempt.
     pub fn end_prefill(&mut self, report: StopReport) {
         self.on_prefill_engine = report == StopReport::Failed;
         if let Some(server) = self.prefill {
-            self.tell(server, report);
+            self.send_report(server, report);
             if !self.on_prefill_engine {
                 self.prefill = None;
             }
         }
     }
 
-    /// The decode engine gets the attempt.
+    /// Records that the attempt is sent to its decode engine.
     pub fn begin_decode(&mut self) {
         self.on_decode_engine = true;
     }
 
-    /// The KV cache arrived.
-    pub fn note_decoding(&mut self, max_tokens: u32) {
+    /// Records that the KV cache has arrived and the engine decodes.
+    pub fn record_decoding(&mut self, max_tokens: u32) {
         if let Some(server) = self.decode {
-            self.tell(server, StopReport::Decoding { max_tokens });
-            self.note_stay(|stay| stay.claim.running = true);
+            self.send_report(server, StopReport::Decoding { max_tokens });
+            self.update_state(|state| state.claim.running = true);
         }
     }
 
-    /// The decode engine ended the stream by itself.
+    /// Records that the decode engine ended the stream itself.
     pub fn end_decode(&mut self, produced: u32) {
         self.on_decode_engine = false;
-        self.end = StopReport::Ended { produced };
+        self.final_report = StopReport::Ended { produced };
     }
 
-    /// The decode engine failed or stalled; it may still hold the attempt.
+    /// Records that the decode engine failed or stalled; it may still hold the attempt.
     pub fn fail_decode(&mut self) {
-        self.end = StopReport::Failed;
+        self.final_report = StopReport::Failed;
     }
 
-    fn tell(&self, server: UsedServer, report: StopReport) {
-        if self.reports {
+    fn send_report(&self, server: ServerLocation, report: StopReport) {
+        if self.reports_to_owner {
             self.host.report(server.key, server.domain, self.attempt, report);
         }
     }
 
-    fn note_stay(&self, change: impl FnOnce(&mut AttemptStay)) {
-        if let Some(stay) = lock(&self.host.attempts).get_mut(&self.attempt) {
-            change(stay);
+    fn update_state(&self, change: impl FnOnce(&mut AttemptState)) {
+        if let Some(state) = lock(&self.host.attempts).get_mut(&self.attempt) {
+            change(state);
         }
     }
 }
@@ -120,11 +126,11 @@
     fn drop(&mut self) {
         lock(&self.host.attempts).remove(&self.attempt);
         if let Some(server) = self.prefill.filter(|_| self.on_prefill_engine) {
-            self.tell(server, StopReport::GivenUp);
+            self.send_report(server, StopReport::GivenUp);
             spawn_cancel(&self.host, server, self.attempt);
         }
         if let Some(server) = self.decode {
-            self.tell(server, self.end);
+            self.send_report(server, self.final_report);
             if self.on_decode_engine {
                 spawn_cancel(&self.host, server, self.attempt);
             }
@@ -132,8 +138,9 @@
     }
 }
 
-/// Cancels until the engine confirms; the owner's sweep goes on where this gives up.
-fn spawn_cancel(host: &Arc<HostState>, server: UsedServer, attempt: AttemptId) {
+/// Sends cancel requests until the engine confirms one. If none is confirmed, the owner's orphan
+/// tracker cancels the attempt.
+fn spawn_cancel(host: &Arc<HostState>, server: ServerLocation, attempt: AttemptId) {
     let host = Arc::clone(host);
     tokio::spawn(async move {
         for _ in 0..CANCEL_TRIES {
--- a/src/host/completion_run.rs
+++ b/src/host/completion_run.rs
@@ -1,10 +1,10 @@
-use super::attempt_guard::{AttemptGuard, UsedServer};
-use super::books_attempt::attempt_by_books;
-use super::decode_leg::take_retry;
+use super::attempt_guard::{AttemptGuard, ServerLocation};
+use super::decode_phase::try_spend_retry;
 use super::host_state::{HostState, lock};
-use super::in_flight::InFlight;
+use super::in_flight_guard::InFlightGuard;
+use super::quotes_attempt::attempt_by_quotes;
 use super::reports_attempt::attempt_by_reports;
-use super::{AnswerPart, CompletionAsk, FinalAnswer};
+use super::{AnswerFailure, AnswerPart, CompletionRequest};
 use crate::keys::{AttemptId, TimePoint};
 use crate::streams::TokenLedger;
 use crate::telemetry::RequestOutcome;
@@ -12,105 +12,105 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
 
-const MOST_ATTEMPTS: u32 = 4;
-/// A stream that broke after its first token may search this long for a new place.
-const MOVE_LIMIT: Duration = Duration::from_secs(4);
-const MOVE_PAUSE: Duration = Duration::from_millis(60);
-const RETRY_AFTER_FAILURE: Duration = Duration::from_secs(1);
+const MAX_ATTEMPTS: u32 = 4;
+/// Time after the last token in which a broken stream may be placed on another server.
+const FAILOVER_TIMEOUT: Duration = Duration::from_secs(4);
+const FAILOVER_PAUSE: Duration = Duration::from_millis(60);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// How one attempt ended.
 #[derive(Debug)]
 pub(super) enum AttemptEnd {
-    /// The whole answer was written.
+    /// The whole answer was sent to the caller.
     Whole,
-    /// No place was found; nothing was sent to any engine.
+    /// The attempt could not be placed, and no engine received anything.
     Refused { reason: &'static str, retry_after: Duration },
-    /// An engine failed, stalled, or lost the work.
+    /// An engine failed, stalled or lost the attempt.
     Failed,
-    /// The transfer stalled, and another server holds a slot for a new attempt: take the prefill
-    /// result there while it lives.
+    /// The transfer stalled, and a new attempt holds a slot on another server; the prefill result
+    /// must be transferred there before it expires.
     Moved(MovedHold),
-    /// The caller left.
+    /// The caller closed the connection.
     CallerLeft,
 }
 
-/// A slot held for a stalled handoff's next attempt.
+/// A slot held for the attempt that replaces one whose handoff stalled.
 #[derive(Debug)]
 pub(super) struct MovedHold {
     pub attempt: AttemptId,
     pub guard: AttemptGuard,
-    pub server: UsedServer,
+    pub server: ServerLocation,
 }
 
-/// What of the answer was written so far.
+/// The part of the answer that was sent to the caller so far.
 #[derive(Debug)]
 pub(super) struct AnswerState {
     pub ledger: TokenLedger,
     pub generated: Vec<String>,
-    pub arrived: TimePoint,
-    /// When the first token must be written, or the next one of a stream that moves.
+    pub arrived_at: TimePoint,
+    /// Deadline of the first token, or of the next one of a stream that fails over.
     pub deadline: TimePoint,
     pub last_token: Option<TimePoint>,
-    /// Whether any engine was given the request.
-    pub ran: bool,
+    /// Whether the request was sent to any engine.
+    pub reached_engine: bool,
     pub sink: UnboundedSender<AnswerPart>,
 }
 
-/// Runs a completion to its final answer; parts go to `sink` as they come.
+/// Runs a completion until it has an answer or has failed; sends each part to `sink` as it arrives.
 pub async fn run_completion(
     host: Arc<HostState>,
-    ask: CompletionAsk,
+    request: CompletionRequest,
     sink: UnboundedSender<AnswerPart>,
 ) {
-    let _flight = InFlight::begin(&host);
-    let arrived = host.now();
-    lock(&host.retries).record_request();
+    let _in_flight = InFlightGuard::begin(&host);
+    let arrived_at = host.now();
+    lock(&host.retry_budget).record_request();
     let mut answer = AnswerState {
         ledger: TokenLedger::new(),
         generated: Vec::new(),
-        arrived,
-        deadline: arrived + ask.first_token,
+        arrived_at,
+        deadline: arrived_at + request.first_token,
         last_token: None,
-        ran: false,
+        reached_engine: false,
         sink,
     };
-    let outcome = run_attempts(&host, &ask, &mut answer).await;
-    host.metrics().record_outcome(outcome, &ask.class.name, &ask.organisation);
-    let detail = format!("request={} outcome={}", ask.request, outcome.name());
-    host.note_span(ask.trace, "completion", arrived, detail);
+    let outcome = run_attempts(&host, &request, &mut answer).await;
+    host.metrics().record_outcome(outcome, &request.class.name, &request.organisation);
+    let detail = format!("request={} outcome={}", request.id, outcome.name());
+    host.record_span(request.trace, "completion", arrived_at, detail);
     log::debug!(
         "event=completion_ended request={} outcome={} tokens={} took_ms={}",
-        ask.request,
+        request.id,
         outcome.name(),
         answer.ledger.next_index(),
-        host.now().since(arrived).as_millis()
+        host.now().since(arrived_at).as_millis()
     );
 }
 
 async fn run_attempts(
     host: &Arc<HostState>,
-    ask: &CompletionAsk,
+    request: &CompletionRequest,
     answer: &mut AnswerState,
 ) -> RequestOutcome {
     let mut failures = 0;
     loop {
         let end = if host.settings.policy.queries_owners() {
-            attempt_by_books(host, ask, answer).await
+            attempt_by_quotes(host, request, answer).await
         } else {
-            attempt_by_reports(host, ask, answer).await
+            attempt_by_reports(host, request, answer).await
         };
         match end {
             AttemptEnd::Whole => return RequestOutcome::Whole,
             AttemptEnd::CallerLeft => return RequestOutcome::Cancelled,
             AttemptEnd::Refused { reason, retry_after } => {
-                if !may_search_on(host, answer).await {
+                if !may_search_again(host, answer).await {
                     return give_up(answer, reason, retry_after);
                 }
             }
             AttemptEnd::Failed | AttemptEnd::Moved(_) => {
                 failures += 1;
-                if failures >= MOST_ATTEMPTS || !may_retry(host, answer) {
-                    return give_up(answer, "engine_failed", RETRY_AFTER_FAILURE);
+                if failures >= MAX_ATTEMPTS || !may_retry(host, answer) {
+                    return give_up(answer, "engine_failed", RETRY_AFTER);
                 }
                 host.metrics().add("retries", 1);
             }
@@ -118,35 +118,38 @@
     }
 }
 
-/// Before the first token a retry is paid from the budget and must still be in time; after it the
-/// caller has read a part of the answer, so the rest gets a while of its own.
+/// Whether a failed attempt may be retried.
+///
+/// Before the first token, a retry is charged to the retry budget and must meet the deadline. After
+/// it, the caller has already received a part of the answer, so the rest gets its own deadline.
 fn may_retry(host: &HostState, answer: &mut AnswerState) -> bool {
     let now = host.now();
     match answer.last_token {
         Some(last) => {
-            answer.deadline = last + MOVE_LIMIT;
+            answer.deadline = last + FAILOVER_TIMEOUT;
             now < answer.deadline
         }
-        None => now < answer.deadline && take_retry(host),
+        None => now < answer.deadline && try_spend_retry(host),
     }
 }
 
-async fn may_search_on(host: &HostState, answer: &mut AnswerState) -> bool {
+/// Waits briefly and allows another search if a started stream may still fail over.
+async fn may_search_again(host: &HostState, answer: &mut AnswerState) -> bool {
     let now = host.now();
-    let moving = answer.last_token.is_some_and(|last| now.since(last) < MOVE_LIMIT);
-    if moving {
-        tokio::time::sleep(MOVE_PAUSE).await;
+    let may_fail_over = answer.last_token.is_some_and(|last| now.since(last) < FAILOVER_TIMEOUT);
+    if may_fail_over {
+        tokio::time::sleep(FAILOVER_PAUSE).await;
     }
-    moving && !answer.sink.is_closed()
+    may_fail_over && !answer.sink.is_closed()
 }
 
 fn give_up(answer: &AnswerState, reason: &str, retry_after: Duration) -> RequestOutcome {
     let reason = reason.to_owned();
-    let (end, outcome) = if answer.ran {
-        (FinalAnswer::Unknown { reason, retry_after }, RequestOutcome::Unknown)
+    let (end, outcome) = if answer.reached_engine {
+        (AnswerFailure::Unknown { reason, retry_after }, RequestOutcome::Unknown)
     } else {
-        (FinalAnswer::NotRun { reason, retry_after }, RequestOutcome::NotRun)
+        (AnswerFailure::NotRun { reason, retry_after }, RequestOutcome::NotRun)
     };
-    answer.send(AnswerPart::Broken(end));
+    answer.send(AnswerPart::Failed(end));
     outcome
 }
--- a/src/host/config_store.rs
+++ b/src/host/config_store.rs
@@ -1,4 +1,4 @@
-//! The cluster configuration as an object of the platform's store.
+//! Reads, watches and writes the cluster configuration in the platform's store.
 
 use super::host_state::{HostState, lock};
 use crate::intents::ClusterConfig;
@@ -10,43 +10,43 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A store that serves answers within some milliseconds; one that does not is away.
-const CALL_LIMIT: Duration = Duration::from_millis(800);
-/// How much longer than its wait a watch may take.
+/// A healthy store answers within milliseconds; one that takes this long is unavailable.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time that a watch may take beyond the wait it asks for.
 const WATCH_SLACK: Duration = Duration::from_millis(1500);
 
 impl HostState {
-    /// Reads the configuration from the store now and puts it in force if it is newer.
+    /// Reads the configuration from the store and adopts it if it is newer.
     ///
     /// # Errors
-    /// If the store gave no proper answer.
+    /// If the store gave no valid answer.
     pub(super) async fn read_config(self: &Arc<Self>) -> Result<ClusterConfig> {
         self.list_config().await.map(|(config, _revision)| config)
     }
 
-    /// The same; also the store's revision, from which a watch goes on.
+    /// Like [`Self::read_config`], but also returns the store's revision, from which to watch.
     ///
     /// # Errors
-    /// If the store gave no proper answer.
+    /// If the store gave no valid answer.
     pub(super) async fn list_config(self: &Arc<Self>) -> Result<(ClusterConfig, u64)> {
         let (kind, name) = INTENT_OBJECT;
         self.metrics().add("store_calls", 1);
-        let listed = self.store.list(kind, ListAge::Newest, CALL_LIMIT).await?;
+        let listed = self.store.list(kind, ListAge::Newest, CALL_TIMEOUT).await?;
         if let Some(object) = listed.unreadable.iter().find(|object| is_named(object, name)) {
             return Err(Error::Protocol(object.cause.clone()));
         }
         let object = listed.items.iter().find(|object| object.name == name);
         let config = object.map(parse_config).transpose()?.unwrap_or_default();
-        lock(&self.desk).record_store_contact(self.now());
+        lock(&self.order_planner).record_store_contact(self.now());
         self.adopt_config(config.clone());
         Ok((config, listed.revision))
     }
 
-    /// Waits up to `wait` for a configuration written after the revision `after`, puts it in force
-    /// and returns the revision from which to go on.
+    /// Waits up to `wait` for a configuration written after revision `after` and adopts it; returns
+    /// the revision from which to continue the watch.
     ///
     /// # Errors
-    /// If the store gave no proper answer.
+    /// If the store gave no valid answer.
     pub(super) async fn watch_config(self: &Arc<Self>, after: u64, wait: Duration) -> Result<u64> {
         let (kind, name) = INTENT_OBJECT;
         let plan = WatchLimits { wait, slack: WATCH_SLACK, max_bytes: MAX_OBJECT_BYTES };
@@ -55,7 +55,7 @@
         let WatchAnswer::Changes(changes, revision) = answer else {
             return self.list_config().await.map(|(_config, revision)| revision);
         };
-        lock(&self.desk).record_store_contact(self.now());
+        lock(&self.order_planner).record_store_contact(self.now());
         for event in changes.iter().rev() {
             match event {
                 StoreEvent::Changed(object) if object.name == name => {
@@ -71,7 +71,7 @@
         Ok(revision)
     }
 
-    /// Replaces the configuration `current` by `next`, if it still stands.
+    /// Replaces the configuration `current` by `next`, if `current` is still the stored version.
     pub(super) async fn write_config(
         &self,
         current: &ClusterConfig,
@@ -87,7 +87,7 @@
             }
         };
         let expected = (current.version > 0).then_some(current.version);
-        self.store.write(kind, name, expected, &spec, CALL_LIMIT).await
+        self.store.write(kind, name, expected, &spec, CALL_TIMEOUT).await
     }
 }
 
@@ -95,7 +95,7 @@
     object.name.as_deref() == Some(name)
 }
 
-/// Reads the configuration out of its object; its version is the object's revision.
+/// Parses the configuration from its object; its version is the object's revision.
 fn parse_config(object: &StoreObject) -> Result<ClusterConfig> {
     let mut config: ClusterConfig = serde_json::from_value(object.spec.clone())?;
     config.version = object.revision;
--- a/src/host/daemon.rs
+++ b/src/host/daemon.rs
@@ -15,21 +15,21 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, UdpSocket};
 
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
-const HAND_OVER_LIMIT: Duration = Duration::from_millis(300);
-/// After the last stream, the news of leaving is given this long to spread.
-const FAREWELL: Duration = Duration::from_millis(300);
+const DRAIN_POLL_PERIOD: Duration = Duration::from_millis(50);
+const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time after the last stream for gossip to spread the update that this host is leaving.
+const LEAVE_SPREAD_TIME: Duration = Duration::from_millis(300);
 
 /// A running daemon.
 #[derive(Debug)]
 pub struct Daemon {
-    /// Its state.
+    /// State of the host.
     pub host: Arc<HostState>,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub callers: SocketAddr,
-    /// Where peers connect.
+    /// Address on which peers connect.
     pub peers: SocketAddr,
-    /// Where operators connect.
+    /// Address on which operators connect.
     pub operators: SocketAddr,
 }
 
@@ -66,7 +66,8 @@
 }
 
 impl HostState {
-    /// Begins a planned stop: no new requests, no books; streams run on.
+    /// Begins a planned shutdown: the host accepts no new requests and hands over the ledgers that
+    /// it owns; running streams continue.
     pub fn begin_drain(self: &Arc<Self>) {
         if self.draining.swap(true, Ordering::Relaxed) {
             return;
@@ -77,29 +78,29 @@
             members.start_draining();
             members.push_updates(usize::MAX, usize::MAX)
         };
-        let books = self.book_claims();
+        let server_claims = self.ledger_claims();
         self.execute_actions(actions);
         let host = Arc::clone(self);
-        self.runtime.spawn(async move { host.hand_over(books).await });
+        self.runtime.spawn(async move { host.hand_over_claims(server_claims).await });
     }
 
-    /// Waits until all streams have ended, or the limit of the settings has passed; true if all
-    /// ended.
+    /// Waits until all streams have ended or the configured drain limit has passed; returns whether
+    /// all ended.
     pub async fn finish_drain(self: &Arc<Self>) -> bool {
-        let began = self.now();
+        let started_at = self.now();
         while self.in_flight.load(Ordering::Relaxed) > 0 {
-            if self.now().since(began) >= self.settings.drain_limit {
+            if self.now().since(started_at) >= self.settings.drain_limit {
                 log::warn!("event=drain_cut in_flight={}", self.in_flight.load(Ordering::Relaxed));
                 return false;
             }
-            tokio::time::sleep(DRAIN_LOOK).await;
+            tokio::time::sleep(DRAIN_POLL_PERIOD).await;
         }
-        tokio::time::sleep(FAREWELL).await;
+        tokio::time::sleep(LEAVE_SPREAD_TIME).await;
         log::info!("event=drain_ended");
         true
     }
 
-    fn book_claims(&self) -> Vec<(crate::keys::ServerKey, Vec<SlotClaim>)> {
+    fn ledger_claims(&self) -> Vec<(crate::keys::ServerKey, Vec<SlotClaim>)> {
         let claim = |entry: &crate::placement::SlotEntry| SlotClaim {
             attempt: entry.attempt,
             running: entry.slot_use == SlotUse::Running,
@@ -107,17 +108,20 @@
         };
         lock(&self.owned)
             .iter()
-            .map(|(key, server)| (*key, server.book.slots.entries().iter().map(claim).collect()))
+            .map(|(key, server)| (*key, server.ledger.slots.entries().iter().map(claim).collect()))
             .collect()
     }
 
-    /// Tells the next owners what this one knew; they ask the living hosts besides.
-    async fn hand_over(self: &Arc<Self>, books: Vec<(crate::keys::ServerKey, Vec<SlotClaim>)>) {
-        tokio::time::sleep(HAND_OVER_LIMIT / 3).await;
-        for (key, claims) in books {
+    /// Sends the claims of its ledgers to the next owners, which also query all living hosts.
+    async fn hand_over_claims(
+        self: &Arc<Self>,
+        server_claims: Vec<(crate::keys::ServerKey, Vec<SlotClaim>)>,
+    ) {
+        tokio::time::sleep(HAND_OVER_TIMEOUT / 3).await;
+        for (key, claims) in server_claims {
             if let Some(owner) = self.owner_of(key, self.domain()) {
                 let request = PeerRequest::HandOver(key, claims);
-                let _ = self.call_peer(owner, &request, HAND_OVER_LIMIT).await;
+                let _ = self.call_peer(owner, &request, HAND_OVER_TIMEOUT).await;
             }
         }
     }
--- a/src/host/decode_leg.rs
+++ b/src/host/decode_phase.rs
@@ -1,10 +1,10 @@
-//! The part of an attempt from the finished prefill to the end of the answer.
+//! The decode phase of an attempt, from the finished prefill to the end of the answer.
 
-use super::attempt_guard::{AttemptGuard, UsedServer};
+use super::attempt_guard::{AttemptGuard, ServerLocation};
 use super::completion_run::{AnswerState, AttemptEnd};
 use super::handoff::move_handoff;
 use super::host_state::{HostState, lock};
-use super::{AnswerPart, CompletionAsk};
+use super::{AnswerPart, CompletionRequest};
 use crate::engines::{DecodeCall, LineStream, ResumeCall, StreamEvent};
 use crate::keys::{AttemptId, TimePoint};
 use crate::placement::WasteCause;
@@ -12,45 +12,46 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const SHORTEST_STALL: Duration = Duration::from_millis(500);
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(500);
 const STALL_STEPS: u32 = 8;
-/// A transfer may take this long beyond the life of the prefill result.
-const IMPORT_LIMIT: Duration = Duration::from_millis(1500);
-const RESUMES: u32 = 2;
+/// Timeout of opening a decode stream and of its transfer; a transfer may outlast the lifetime of
+/// the prefill result by this much.
+const IMPORT_TIMEOUT: Duration = Duration::from_millis(1500);
+const MAX_RESUMES: u32 = 2;
 
-/// What the decode leg needs to know of its prefill.
+/// Result of the prefill phase that the decode phase needs.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PrefillResult {
     pub source: std::net::SocketAddr,
     pub handle: u64,
     pub work: Duration,
     pub kv_bytes: u64,
-    /// When a transfer that has not arrived is moved elsewhere, if it may be.
+    /// Time after which a stalled transfer is rerouted to another server; never if `None`.
     pub move_after: Option<Duration>,
 }
 
 /// Streams the answer of one attempt to the caller.
 pub(super) async fn run_decode(
     host: &Arc<HostState>,
-    ask: &CompletionAsk,
+    request: &CompletionRequest,
     answer: &mut AnswerState,
     guard: &mut AttemptGuard,
     attempt: AttemptId,
-    server: UsedServer,
+    server: ServerLocation,
     result: PrefillResult,
 ) -> AttemptEnd {
-    let began = host.now();
+    let started_at = host.now();
     answer.ledger.switch_to(attempt);
     let call = DecodeCall {
         attempt: attempt.to_string(),
-        request: ask.request.clone(),
+        request: request.id.clone(),
         source: result.source,
         handle: result.handle,
         next_index: answer.ledger.next_index(),
-        max_tokens: ask.max_tokens,
+        max_tokens: request.max_tokens,
     };
     guard.begin_decode();
-    let opening = tokio::time::timeout(IMPORT_LIMIT, host.engines.decode(server.address, &call));
+    let opening = tokio::time::timeout(IMPORT_TIMEOUT, host.engines.decode(server.address, &call));
     let opened = tokio::select! {
         opened = opening => opened,
         () = answer.sink.closed() => return caller_left(host, answer, result),
@@ -59,7 +60,7 @@
         Ok(Ok(lines)) => lines,
         _ => return fail(host, guard, answer, result, WasteCause::DecodeFailed),
     };
-    let mut stall = result.move_after.unwrap_or(IMPORT_LIMIT);
+    let mut stall = result.move_after.unwrap_or(IMPORT_TIMEOUT);
     let mut importing = result.move_after.is_some();
     let mut resumes = 0;
     loop {
@@ -70,14 +71,14 @@
         match event {
             Ok(Ok(Some(StreamEvent::Imported))) => {
                 importing = false;
-                guard.note_decoding(ask.max_tokens);
-                host.note_span(ask.trace, "import", began, format!("attempt={attempt}"));
-                stall = SHORTEST_STALL
-                    .max(Duration::from_millis(ask.class.between_tokens_ms) * STALL_STEPS);
+                guard.record_decoding(request.max_tokens);
+                host.record_span(request.trace, "import", started_at, format!("attempt={attempt}"));
+                stall = MIN_STALL_TIMEOUT
+                    .max(Duration::from_millis(request.class.between_tokens_ms) * STALL_STEPS);
             }
             Ok(Ok(Some(StreamEvent::Token { index, text }))) => {
                 match answer.ledger.admit(attempt, index) {
-                    TokenVerdict::Write => answer.write_token(host, ask, text),
+                    TokenVerdict::Write => answer.write_token(host, request, text),
                     TokenVerdict::Duplicate | TokenVerdict::Stale => {}
                     TokenVerdict::Gap => {
                         return fail(host, guard, answer, result, WasteCause::DecodeFailed);
@@ -89,10 +90,10 @@
                     return fail(host, guard, answer, result, WasteCause::DecodeFailed);
                 }
                 guard.end_decode(total);
-                host.note_span(
-                    ask.trace,
+                host.record_span(
+                    request.trace,
                     "decode",
-                    began,
+                    started_at,
                     format!("attempt={attempt} tokens={total}"),
                 );
                 answer.send(AnswerPart::Done(finish));
@@ -109,14 +110,14 @@
             }
             Err(_) if importing => {
                 importing = false;
-                stall = IMPORT_LIMIT;
-                if let Some(moved) = move_handoff(host, ask, server, result.kv_bytes).await {
+                stall = IMPORT_TIMEOUT;
+                if let Some(moved) = move_handoff(host, request, server, result.kv_bytes).await {
                     guard.fail_decode();
                     return AttemptEnd::Moved(moved);
                 }
             }
-            // The connection broke: the engine may still hold the attempt and go on.
-            Ok(Ok(None) | Err(_)) if resumes < RESUMES => {
+            // The connection broke, but the engine may still run the attempt: resume the stream.
+            Ok(Ok(None) | Err(_)) if resumes < MAX_RESUMES => {
                 resumes += 1;
                 match resume(host, attempt, server, answer).await {
                     Some(resumed) => lines = resumed,
@@ -128,10 +129,11 @@
     }
 }
 
+/// Asks the engine to resume the attempt's stream from the next token.
 async fn resume(
     host: &Arc<HostState>,
     attempt: AttemptId,
-    server: UsedServer,
+    server: ServerLocation,
     answer: &AnswerState,
 ) -> Option<LineStream> {
     let next_index = answer.ledger.next_index();
@@ -166,22 +168,22 @@
 }
 
 impl AnswerState {
-    /// Writes the next token and measures the first one and the gaps.
-    fn write_token(&mut self, host: &HostState, ask: &CompletionAsk, text: String) {
+    /// Sends the next token to the caller and records its latency.
+    fn write_token(&mut self, host: &HostState, request: &CompletionRequest, text: String) {
         let now = host.now();
         let (metric, since): (_, TimePoint) = match self.last_token {
-            None => ("first_token_seconds", self.arrived),
+            None => ("first_token_seconds", self.arrived_at),
             Some(last) => ("between_tokens_seconds", last),
         };
         let took = now.since(since);
-        host.metrics().record_duration(metric, &ask.class.name, &ask.organisation, took);
+        host.metrics().record_duration(metric, &request.class.name, &request.organisation, took);
         if self.last_token.is_none() {
-            host.note_span(ask.trace, "first_token", self.arrived, String::new());
-            if took > ask.first_token {
+            host.record_span(request.trace, "first_token", self.arrived_at, String::new());
+            if took > request.first_token {
                 log::info!(
                     "event=first_token_late request={} trace={:032x} took_ms={}",
-                    ask.request,
-                    ask.trace.trace,
+                    request.id,
+                    request.trace.trace,
                     took.as_millis()
                 );
             }
@@ -191,13 +193,13 @@
         self.send(AnswerPart::Token(text));
     }
 
-    /// Sends a part to the caller; a caller who left is noticed by the next wait.
+    /// Sends a part to the caller. A closed channel is ignored here; the next wait detects it.
     pub(super) fn send(&self, part: AnswerPart) {
         let _ = self.sink.send(part);
     }
 }
 
-/// Retries of a whole request are paid from the host's budget.
-pub(super) fn take_retry(host: &HostState) -> bool {
-    lock(&host.retries).try_spend()
+/// Charges the retry of a whole request to the host's retry budget, if it allows one.
+pub(super) fn try_spend_retry(host: &HostState) -> bool {
+    lock(&host.retry_budget).try_spend()
 }
--- a/src/host/gossip_loop.rs
+++ b/src/host/gossip_loop.rs
@@ -1,4 +1,4 @@
-//! Moves membership datagrams and works the table's clock.
+//! Sends and receives membership datagrams and drives the member table's timers.
 
 use super::host_state::{HostState, lock};
 use crate::membership::ProbeMessage;
@@ -9,22 +9,22 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-const TICK: Duration = Duration::from_millis(50);
-const LONGEST_DATAGRAM: usize = 2048;
-const COMPARE_LIMIT: Duration = Duration::from_secs(2);
+const TICK_PERIOD: Duration = Duration::from_millis(50);
+const MAX_DATAGRAM_BYTES: usize = 2048;
+const SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reads datagrams until the socket fails.
+/// Receives datagrams and passes them to the member table, for as long as the daemon runs.
 pub(super) async fn run_receiver(host: Arc<HostState>, socket: Arc<UdpSocket>) {
-    let mut buffer = [0; LONGEST_DATAGRAM];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
-        // An earlier datagram to a closed port may surface here as an error; it means nothing.
+        // The system may report here that an earlier datagram went to a closed port; ignore it.
         let Ok((length, address)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
         match open_datagram::<ProbeMessage>(&host.settings.shared_key, &buffer[..length]) {
             Ok(message) => {
                 host.metrics().add("gossip_received_bytes", length as u64);
-                host.hear_version(message.view.config_version);
+                host.on_peer_version(message.view.config_version);
                 let actions = lock(&host.members).receive(host.now(), &message);
                 host.execute_actions(actions);
             }
@@ -35,7 +35,7 @@
     }
 }
 
-/// Sends what the table wants sent.
+/// Sends the datagrams of the member table.
 pub(super) async fn run_sender(
     host: Arc<HostState>,
     socket: Arc<UdpSocket>,
@@ -48,11 +48,11 @@
     }
 }
 
-/// Works the table's clock.
+/// Joins the cluster, then ticks the member table periodically.
 pub(super) async fn run_ticker(host: Arc<HostState>) {
-    let mut ticker = tokio::time::interval(TICK);
+    let mut ticker = tokio::time::interval(TICK_PERIOD);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    join(&host).await;
+    join_cluster(&host).await;
     loop {
         ticker.tick().await;
         let now = host.now();
@@ -61,27 +61,28 @@
     }
 }
 
-/// Fetches the whole table from the first seed that answers.
-async fn join(host: &Arc<HostState>) {
+/// Synchronises the whole member table with the first seed that answers.
+async fn join_cluster(host: &Arc<HostState>) {
     for seed in host.settings.seeds.clone() {
-        if compare(host, seed).await {
+        if sync_members(host, seed).await {
             return;
         }
     }
 }
 
 impl HostState {
-    /// Compares the whole table with another host's, in the background.
-    pub(super) fn compare_members(self: &Arc<Self>, address: SocketAddr) {
+    /// Synchronises the whole member table with another host in the background.
+    pub(super) fn start_member_sync(self: &Arc<Self>, address: SocketAddr) {
         let host = Arc::clone(self);
-        self.runtime.spawn(async move { compare(&host, address).await });
+        self.runtime.spawn(async move { sync_members(&host, address).await });
     }
 }
 
-async fn compare(host: &Arc<HostState>, address: SocketAddr) -> bool {
-    let news = lock(&host.members).all_updates();
-    let request = PeerRequest::Sync(news);
-    let Ok(PeerReply::Members(theirs)) = host.peers.call(address, &request, COMPARE_LIMIT).await
+/// Exchanges whole member tables with another host; returns whether it answered.
+async fn sync_members(host: &Arc<HostState>, address: SocketAddr) -> bool {
+    let updates = lock(&host.members).all_updates();
+    let request = PeerRequest::Sync(updates);
+    let Ok(PeerReply::Members(theirs)) = host.peers.call(address, &request, SYNC_TIMEOUT).await
     else {
         return false;
     };
--- a/src/host/handoff.rs
+++ b/src/host/handoff.rs
@@ -1,10 +1,11 @@
-//! Where a finished prefill's result goes when its slot is not free or its transfer stalls.
+//! Chooses another decode server for a finished prefill when its slot is not free or its transfer
+//! stalls.
 
-use super::CompletionAsk;
-use super::attempt_guard::{AttemptGuard, UsedServer};
+use super::CompletionRequest;
+use super::attempt_guard::{AttemptGuard, ServerLocation};
 use super::completion_run::MovedHold;
 use super::host_state::{HostState, micros};
-use super::place_request::{CANDIDATES, used};
+use super::place_request::{MAX_CANDIDATES, locate_server};
 use crate::intents::{ServerRole, ServerSpec};
 use crate::keys::AttemptId;
 use crate::peers::HoldRequest;
@@ -12,39 +13,40 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A handoff that waits no longer than this for its slot stays where it is.
+/// A handoff whose slot is free within this time keeps its server.
 const SHORT_SLOT_WAIT: Duration = Duration::from_millis(60);
-const LONGEST_SLOT_WAIT: Duration = Duration::from_millis(1000);
+const MAX_SLOT_WAIT: Duration = Duration::from_millis(1000);
 
-/// Looks once more where a slot is free now that the prefill is done: streams may have run longer
-/// than expected. Moves the hold within the failure domain if another server is free earlier.
+/// Checks again, after the prefill, whether the held slot is free: streams may have run longer than
+/// expected. If it is not, moves the hold to a free server of the same failure domain, if there is
+/// one.
 pub(super) async fn choose_handoff(
     host: &Arc<HostState>,
-    ask: &CompletionAsk,
+    request: &CompletionRequest,
     guard: &mut AttemptGuard,
     attempt: AttemptId,
-    held: UsedServer,
+    held: ServerLocation,
     kv_bytes: u64,
-) -> UsedServer {
-    let wait = hold_now(host, ask, attempt, held, kv_bytes, LONGEST_SLOT_WAIT).await;
+) -> ServerLocation {
+    let wait = hold_now(host, request, attempt, held, kv_bytes, MAX_SLOT_WAIT).await;
     if wait.is_ok_and(|wait| wait <= micros(SHORT_SLOT_WAIT)) {
         return held;
     }
-    let Some(other) = hold_elsewhere(host, ask, attempt, held, kv_bytes).await else {
+    let Some(other) = hold_elsewhere(host, request, attempt, held, kv_bytes).await else {
         return held;
     };
-    guard.drop_decode();
+    guard.release_decode();
     guard.hold_decode(other);
     host.metrics().add("handoffs_moved", 1);
     other
 }
 
-/// Holds a slot for a handoff that is due, waiting for it at most `latest`.
+/// Holds a slot for an immediate handoff that may wait up to `latest` for it.
 async fn hold_now(
     host: &Arc<HostState>,
-    ask: &CompletionAsk,
+    request: &CompletionRequest,
     attempt: AttemptId,
-    server: UsedServer,
+    server: ServerLocation,
     kv_bytes: u64,
     latest: Duration,
 ) -> Result<u64, RefusalReason> {
@@ -54,21 +56,21 @@
         earliest_in_micros: 0,
         latest_in_micros: micros(latest),
         kv_bytes,
-        max_tokens: ask.max_tokens,
+        max_tokens: request.max_tokens,
     };
     host.hold_slot(server.domain, hold).await
 }
 
-/// Holds a slot that is free now on another server of the domain; none if all are full.
+/// Holds a free slot on another server of the domain, if there is one.
 async fn hold_elsewhere(
     host: &Arc<HostState>,
-    ask: &CompletionAsk,
+    request: &CompletionRequest,
     attempt: AttemptId,
-    from: UsedServer,
+    from: ServerLocation,
     kv_bytes: u64,
-) -> Option<UsedServer> {
-    for server in others(host, ask, from) {
-        let held = hold_now(host, ask, attempt, server, kv_bytes, SHORT_SLOT_WAIT).await;
+) -> Option<ServerLocation> {
+    for server in other_servers(host, request, from) {
+        let held = hold_now(host, request, attempt, server, kv_bytes, SHORT_SLOT_WAIT).await;
         if held.is_ok() {
             return Some(server);
         }
@@ -77,29 +79,34 @@
 }
 
 /// Other decode servers of the same domain that serve the model.
-fn others(host: &HostState, ask: &CompletionAsk, held: UsedServer) -> Vec<UsedServer> {
+fn other_servers(
+    host: &HostState,
+    request: &CompletionRequest,
+    held: ServerLocation,
+) -> Vec<ServerLocation> {
     let config = host.config();
     let serves = |server: &&ServerSpec| {
         server.role == ServerRole::Decode
             && !server.leaving
             && server.domain_key() == held.domain
             && server.key() != held.key
-            && server.models.contains(&ask.model.name)
+            && server.models.contains(&request.model.name)
     };
-    let serving = config.servers.iter().filter(serves).take(CANDIDATES);
-    serving.filter_map(|server| used(&config, server.key())).collect()
+    let serving = config.servers.iter().filter(serves).take(MAX_CANDIDATES);
+    serving.filter_map(|server| locate_server(&config, server.key())).collect()
 }
 
-/// Holds a slot elsewhere in the domain for a handoff whose transfer stalls; none if all are full.
+/// Holds a slot elsewhere in the domain for a handoff whose transfer stalls, if there is a free
+/// one.
 pub(super) async fn move_handoff(
     host: &Arc<HostState>,
-    ask: &CompletionAsk,
-    stalled: UsedServer,
+    request: &CompletionRequest,
+    stalled: ServerLocation,
     kv_bytes: u64,
 ) -> Option<MovedHold> {
     let attempt = host.new_attempt();
-    let server = hold_elsewhere(host, ask, attempt, stalled, kv_bytes).await?;
-    let mut guard = AttemptGuard::new(host, attempt, ask.max_tokens, true);
+    let server = hold_elsewhere(host, request, attempt, stalled, kv_bytes).await?;
+    let mut guard = AttemptGuard::new(host, attempt, request.max_tokens, true);
     guard.hold_decode(server);
     Some(MovedHold { attempt, guard, server })
 }
--- a/src/host/host_state.rs
+++ b/src/host/host_state.rs
@@ -1,4 +1,4 @@
-use super::{AttemptStay, ClaimDesk, OwnedServer};
+use super::{AttemptState, ClaimBatcher, OwnedServer};
 use crate::claims::{OutcomeTable, TicketRegistry};
 use crate::engines::EngineClient;
 use crate::fleet::ViewFreshness;
@@ -17,25 +17,25 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Everything that one daemon knows; the edges call its methods.
+/// State of one daemon, shared by its tasks and network servers.
 #[derive(Debug)]
 pub struct HostState {
-    /// Its settings.
+    /// Settings of the daemon.
     pub settings: HostSettings,
-    /// This life of it.
+    /// Incarnation of this host: a new one with every start.
     pub incarnation: IncarnationId,
     clock: HostClock,
-    serials: AtomicU64,
+    next_serial: AtomicU64,
     pub(super) config: Mutex<ActiveConfig>,
     pub(super) members: Mutex<MemberTable>,
     pub(super) owned: Mutex<HashMap<ServerKey, OwnedServer>>,
-    pub(super) attempts: Mutex<HashMap<AttemptId, AttemptStay>>,
+    pub(super) attempts: Mutex<HashMap<AttemptId, AttemptState>>,
     pub(super) reports: Mutex<ReportTable>,
-    pub(super) retries: Mutex<RetryBudget>,
-    pub(super) desk: Mutex<OrderPlanner>,
+    pub(super) retry_budget: Mutex<RetryBudget>,
+    pub(super) order_planner: Mutex<OrderPlanner>,
     pub(super) outcomes: Mutex<OutcomeTable>,
     pub(super) tickets: Mutex<TicketRegistry>,
-    pub(super) claims: ClaimDesk,
+    pub(super) claim_batcher: ClaimBatcher,
     pub(super) metrics: Mutex<MetricRegistry>,
     pub(super) traces: Mutex<SpanBuffer>,
     pub(super) peers: PeerClient,
@@ -45,14 +45,14 @@
     pub(super) in_flight: AtomicU64,
     pub(super) config_fetches: Mutex<ViewFetches>,
     pub(super) config_freshness: Mutex<ViewFreshness>,
-    pub(super) terms: AtomicU64,
-    /// Where tasks run, also when an operator's thread asks for them.
+    pub(super) next_term: AtomicU64,
+    /// Runtime of all tasks, needed to start them from an operator's thread outside it.
     pub(super) runtime: tokio::runtime::Handle,
     pub(super) outbox: tokio::sync::mpsc::UnboundedSender<(SocketAddr, Vec<u8>)>,
 }
 
 impl HostState {
-    /// The state of a daemon that starts now, whose peers reach it at `peers_address`.
+    /// Creates the state of a starting daemon whose peers reach it at `peers_address`.
     ///
     /// # Panics
     /// Outside a tokio runtime.
@@ -68,17 +68,17 @@
         Self {
             incarnation,
             clock: HostClock::start(),
-            serials: AtomicU64::new(1),
+            next_serial: AtomicU64::new(1),
             config: Mutex::default(),
             members: Mutex::new(MemberTable::new(own, seeds, rand::random())),
             owned: Mutex::default(),
             attempts: Mutex::default(),
             reports: Mutex::default(),
-            retries: Mutex::default(),
-            desk: Mutex::default(),
+            retry_budget: Mutex::default(),
+            order_planner: Mutex::default(),
             outcomes: Mutex::default(),
             tickets: Mutex::default(),
-            claims: ClaimDesk::default(),
+            claim_batcher: ClaimBatcher::default(),
             metrics: Mutex::default(),
             traces: Mutex::default(),
             peers: PeerClient::new(&settings.shared_key),
@@ -88,56 +88,65 @@
             in_flight: AtomicU64::new(0),
             config_fetches: Mutex::default(),
             config_freshness: Mutex::default(),
-            terms: AtomicU64::new(1),
+            next_term: AtomicU64::new(1),
             runtime: tokio::runtime::Handle::current(),
             outbox,
             settings,
         }
     }
 
-    /// The present time on this host's own clock.
+    /// Current time on this host's monotonic clock.
     pub fn now(&self) -> TimePoint {
         self.clock.now()
     }
 
-    /// Seconds since 1970.
+    /// Seconds since the Unix epoch.
     pub fn now_seconds() -> u64 {
         SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs()
     }
 
-    /// A new attempt of this incarnation.
+    /// Creates the id of a new attempt of this incarnation.
     pub fn new_attempt(&self) -> AttemptId {
-        AttemptId { owner: self.incarnation, serial: self.serials.fetch_add(1, Ordering::Relaxed) }
+        AttemptId {
+            owner: self.incarnation,
+            serial: self.next_serial.fetch_add(1, Ordering::Relaxed),
+        }
     }
 
-    /// The configuration in force.
+    /// Configuration in force.
     pub fn config(&self) -> Arc<ClusterConfig> {
         lock(&self.config).current()
     }
 
-    /// Whether it serves: it has a confirmed configuration and does not drain.
+    /// Whether the host serves requests: it has a confirmed configuration and is not draining.
     pub fn is_ready(&self) -> bool {
         self.config().version > 0 && !self.is_draining()
     }
 
-    /// Whether a planned stop is under way.
+    /// Whether a planned shutdown is in progress.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Metrics, for one short change.
+    /// Locks the metrics; hold the guard only briefly.
     pub fn metrics(&self) -> MutexGuard<'_, MetricRegistry> {
         lock(&self.metrics)
     }
 
-    /// The key of this host's failure domain.
+    /// Key of this host's failure domain.
     pub fn domain(&self) -> NameKey {
         NameKey::of(&self.settings.domain)
     }
 
-    /// Records a span that began at `began` and ends now.
-    pub fn note_span(&self, parent: TraceParent, name: &str, began: TimePoint, detail: String) {
-        let took = self.now().since(began);
+    /// Records a span that started at `started_at` and ends now.
+    pub fn record_span(
+        &self,
+        parent: TraceParent,
+        name: &str,
+        started_at: TimePoint,
+        detail: String,
+    ) {
+        let took = self.now().since(started_at);
         let ended = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let record = SpanRecord {
             trace: parent.trace,
@@ -153,12 +162,12 @@
     }
 }
 
-/// Whole microseconds.
+/// Converts to whole microseconds.
 pub(super) fn micros(time: Duration) -> u64 {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Locks even if a holder panicked: every machine checks its own invariants.
+/// Locks a mutex even if a holder panicked, since each state machine checks its own invariants.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/host/in_flight.rs
+++ b/src/host/in_flight_guard.rs
@@ -2,21 +2,21 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Counts one request as in flight until dropped; a planned stop waits for all of them.
+/// Counts one request as in flight until dropped; a planned shutdown waits for all of them.
 #[derive(Debug)]
-pub(super) struct InFlight {
+pub(super) struct InFlightGuard {
     host: Arc<HostState>,
 }
 
-impl InFlight {
-    /// Counts a request.
+impl InFlightGuard {
+    /// Counts a request as in flight.
     pub fn begin(host: &Arc<HostState>) -> Self {
         host.in_flight.fetch_add(1, Ordering::Relaxed);
         Self { host: Arc::clone(host) }
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.host.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
--- a/src/host/once_ask.rs
+++ b/src/host/once_request.rs
@@ -3,44 +3,44 @@
 use crate::keys::{mix_hash, stable_hash};
 use crate::telemetry::TraceParent;
 
-/// A checked call that must run at most once.
+/// A validated call that must run at most once.
 #[derive(Debug, Clone)]
-pub struct OnceAsk {
-    /// The service.
+pub struct OnceRequest {
+    /// Service that runs the call.
     pub service: ServiceSpec,
-    /// Path within it.
+    /// Path within the service.
     pub path: String,
-    /// The caller's organisation; equal keys of others are other keys.
+    /// Organisation of the caller; the same key used by another organisation is a different key.
     pub organisation: String,
-    /// The idempotency key.
+    /// Idempotency key, if the caller sent one.
     pub key: Option<String>,
-    /// The ticket, if the caller fetched one.
+    /// Ticket, if the caller sent one.
     pub ticket: Option<TicketId>,
-    /// The body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// Where its spans hang.
+    /// Parent of its trace spans.
     pub trace: TraceParent,
 }
 
-/// What the caller is told.
+/// Outcome of the call, as reported to the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum OnceAnswer {
-    /// The service's answer; no other connection gets it.
+pub enum OnceOutcome {
+    /// The service's answer, delivered to this connection only.
     Answer(StoredAnswer),
-    /// The first attempt still runs.
+    /// The first attempt is still running.
     InProgress,
-    /// The answer went to another connection.
+    /// The answer was delivered to another connection.
     AlreadyAnswered,
-    /// The key was used with another body.
+    /// The key was used before with a different body.
     OtherBody,
     /// No attempt of this request ran.
     NotRun(&'static str),
-    /// It may have run.
+    /// An attempt may have run.
     Unknown(&'static str),
 }
 
-impl OnceAsk {
-    /// What is claimed: the organisation's key or ticket.
+impl OnceRequest {
+    /// Key to claim: the organisation with its ticket or idempotency key.
     pub(super) fn claim_key(&self) -> ClaimKey {
         let name = match (&self.ticket, &self.key) {
             (Some(ticket), _) => ticket.to_string(),
@@ -49,16 +49,16 @@
         ClaimKey::of(&self.organisation, &name)
     }
 
-    /// Hash of service, path and body.
+    /// Hash of the service, the path and the body.
     pub(super) fn body_hash(&self) -> u64 {
         let target = stable_hash(format!("{} {}", self.service.name, self.path).as_bytes());
         mix_hash(target, stable_hash(&self.body))
     }
 }
 
-impl From<KeyStatus> for OnceAnswer {
-    fn from(presented: KeyStatus) -> Self {
-        match presented {
+impl From<KeyStatus> for OnceOutcome {
+    fn from(status: KeyStatus) -> Self {
+        match status {
             KeyStatus::Answer(answer) => Self::Answer(answer),
             KeyStatus::InProgress => Self::InProgress,
             KeyStatus::AlreadyAnswered => Self::AlreadyAnswered,
@@ -69,8 +69,8 @@
     }
 }
 
-impl OnceAnswer {
-    /// The name used in traces.
+impl OnceOutcome {
+    /// Name in trace spans.
     pub const fn name(&self) -> &'static str {
         match self {
             Self::Answer(_) => "answer",
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The counter that it raises.
+    /// Metric counter that it increments.
     pub(super) const fn counter(&self) -> &'static str {
         match self {
             Self::Answer(_) => "once_answered",
--- a/src/host/owned_server.rs
+++ b/src/host/owned_server.rs
@@ -5,32 +5,32 @@
 use std::collections::HashMap;
 use tokio::sync::oneshot;
 
-/// A backend server whose book this host keeps.
+/// A backend server whose ledger this host owns.
 #[derive(Debug)]
 pub struct OwnedServer {
-    /// The book.
-    pub book: ServerLedger,
-    /// Attempts that nobody claims.
-    pub sweep: OrphanTracker,
-    /// Who waits for a prefill to start.
-    pub waiters: HashMap<AttemptId, oneshot::Sender<StartReply>>,
-    /// Sequence number of the cache events read so far.
-    pub cache_next: u64,
-    /// Whether a wake-up of the queue is due already.
-    pub wake_due: bool,
-    /// Sets this ownership apart from an earlier one of the same server.
+    /// Ledger of the server.
+    pub ledger: ServerLedger,
+    /// Tracks attempts on the server that no host claims.
+    pub orphans: OrphanTracker,
+    /// Reply channels of the attempts that wait for their prefill to start.
+    pub start_waiters: HashMap<AttemptId, oneshot::Sender<StartReply>>,
+    /// Sequence number of the next cache event to read.
+    pub next_cache_event: u64,
+    /// Whether a wake-up of the prefill queue is already scheduled.
+    pub wake_scheduled: bool,
+    /// Distinguishes this ownership from an earlier one of the same server.
     pub term: u64,
 }
 
 impl OwnedServer {
-    /// Ownership that just began.
-    pub fn new(book: ServerLedger, term: u64) -> Self {
+    /// Creates the state of a newly acquired server.
+    pub fn new(ledger: ServerLedger, term: u64) -> Self {
         Self {
-            book,
-            sweep: OrphanTracker::default(),
-            waiters: HashMap::new(),
-            cache_next: 0,
-            wake_due: false,
+            ledger,
+            orphans: OrphanTracker::default(),
+            start_waiters: HashMap::new(),
+            next_cache_event: 0,
+            wake_scheduled: false,
             term,
         }
     }
--- a/src/host/owner_calls.rs
+++ b/src/host/owner_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the owners of books, wherever they are.
+//! Calls to the owners of server ledgers, on this host or on others.
 
 use super::host_state::{HostState, lock};
 use crate::intents::ClusterConfig;
@@ -13,18 +13,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const QUOTE_LIMIT: Duration = Duration::from_millis(60);
-const HOLD_LIMIT: Duration = Duration::from_millis(60);
-const REPORT_LIMIT: Duration = Duration::from_millis(500);
+const QUOTE_TIMEOUT: Duration = Duration::from_millis(60);
+const HOLD_TIMEOUT: Duration = Duration::from_millis(60);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 const REPORT_TRIES: u32 = 3;
 
 impl HostState {
-    /// The owner of a server's book: the first by rendezvous among its domain's living hosts.
+    /// Owner of a server's ledger: the living host of its domain with the highest rendezvous rank.
     pub(super) fn owner_of(&self, server: ServerKey, domain: NameKey) -> Option<MemberUpdate> {
         rendezvous_owner(server.0, lock(&self.members).owners(domain))
     }
 
-    /// Calls another daemon; a refused connection makes it a suspect.
+    /// Calls another daemon; a refused connection marks it as suspect.
     pub(super) async fn call_peer(
         &self,
         peer: MemberUpdate,
@@ -40,22 +40,22 @@
         result
     }
 
-    /// Asks the owners of all servers named in `ask` for quotes, each owner once.
-    pub(super) async fn ask_quotes(
+    /// Requests quotes for all servers named in `request`, with one call to each owner.
+    pub(super) async fn request_quotes(
         self: &Arc<Self>,
         config: &ClusterConfig,
-        ask: &PlaceRequest,
+        request: &PlaceRequest,
     ) -> PlaceOffers {
         let mut offers = PlaceOffers::default();
         let mut calls = tokio::task::JoinSet::new();
-        for (owner, part) in self.split_by_owner(config, ask) {
+        for (owner, part) in self.split_by_owner(config, request) {
             if owner.incarnation == self.incarnation {
-                merge_offers(&mut offers, self.quote_here(&part));
+                merge_offers(&mut offers, self.quote_locally(&part));
                 continue;
             }
             let host = Arc::clone(self);
             calls.spawn(async move {
-                host.call_peer(owner, &PeerRequest::Quote(part), QUOTE_LIMIT).await
+                host.call_peer(owner, &PeerRequest::Quote(part), QUOTE_TIMEOUT).await
             });
         }
         while let Some(joined) = calls.join_next().await {
@@ -69,9 +69,9 @@
     fn split_by_owner(
         &self,
         config: &ClusterConfig,
-        ask: &PlaceRequest,
+        request: &PlaceRequest,
     ) -> Vec<(MemberUpdate, PlaceRequest)> {
-        let empty = PlaceRequest { prefills: Vec::new(), decodes: Vec::new(), ..ask.clone() };
+        let empty = PlaceRequest { prefills: Vec::new(), decodes: Vec::new(), ..request.clone() };
         let mut parts: HashMap<IncarnationId, (MemberUpdate, PlaceRequest)> = HashMap::new();
         let mut part_of = |key: ServerKey, add: &dyn Fn(&mut PlaceRequest)| {
             let Some(domain) = config.server(key).map(|server| server.domain_key()) else {
@@ -83,56 +83,56 @@
             let part = parts.entry(owner.incarnation).or_insert_with(|| (owner, empty.clone()));
             add(&mut part.1);
         };
-        for key in &ask.prefills {
+        for key in &request.prefills {
             part_of(*key, &|part| part.prefills.push(*key));
         }
-        for key in &ask.decodes {
+        for key in &request.decodes {
             part_of(*key, &|part| part.decodes.push(*key));
         }
         parts.into_values().collect()
     }
 
-    /// Holds a decode slot at its owner.
+    /// Asks a decode server's owner to hold a slot.
     pub(super) async fn hold_slot(
         self: &Arc<Self>,
         domain: NameKey,
-        ask: HoldRequest,
+        request: HoldRequest,
     ) -> std::result::Result<u64, RefusalReason> {
-        let owner = self.owner_of(ask.server, domain).ok_or(RefusalReason::NotServing)?;
+        let owner = self.owner_of(request.server, domain).ok_or(RefusalReason::NotServing)?;
         if owner.incarnation == self.incarnation {
-            return self.hold_here(&ask);
+            return self.hold_locally(&request);
         }
-        match self.call_peer(owner, &PeerRequest::Hold(ask), HOLD_LIMIT).await {
+        match self.call_peer(owner, &PeerRequest::Hold(request), HOLD_TIMEOUT).await {
             Ok(PeerReply::Held(result)) => result,
             _ => Err(RefusalReason::NotOwner),
         }
     }
 
-    /// Queues at a prefill server's owner and waits for the start.
+    /// Queues a prefill at its server's owner and waits until it may start.
     pub(super) async fn enqueue(
         self: &Arc<Self>,
         server: ServerKey,
         domain: NameKey,
-        ask: &PlaceRequest,
+        request: &PlaceRequest,
         limit: Duration,
     ) -> StartReply {
         let Some(owner) = self.owner_of(server, domain) else {
             return StartReply::Refused(RefusalReason::NotServing);
         };
         if owner.incarnation == self.incarnation {
-            let waiting = tokio::time::timeout(limit, self.enqueue_here(server, ask));
+            let waiting = tokio::time::timeout(limit, self.enqueue_locally(server, request));
             return waiting.await.unwrap_or(StartReply::Refused(RefusalReason::TooLate));
         }
-        let request = PeerRequest::Enqueue(server, ask.clone());
-        match self.call_peer(owner, &request, limit).await {
+        let message = PeerRequest::Enqueue(server, request.clone());
+        match self.call_peer(owner, &message, limit).await {
             Ok(PeerReply::Start(reply)) => reply,
             Err(Error::Timeout) => StartReply::Refused(RefusalReason::TooLate),
             _ => StartReply::Refused(RefusalReason::NotOwner),
         }
     }
 
-    /// Tells a server's owner how an attempt's stay changed; tried again if the call fails. What
-    /// is lost all the same, the owner finds when it compares its book with the engine.
+    /// Reports to a server's owner how an attempt progressed there; a failed call is retried. If
+    /// all tries fail, the owner finds the change when it compares its ledger with the engine.
     pub(super) fn report(
         self: &Arc<Self>,
         server: ServerKey,
@@ -144,7 +144,7 @@
             return;
         };
         if owner.incarnation == self.incarnation {
-            return self.report_here(server, attempt, report);
+            return self.report_locally(server, attempt, report);
         }
         let host = Arc::clone(self);
         tokio::spawn(async move {
@@ -153,7 +153,7 @@
                     return;
                 };
                 let request = PeerRequest::Report(server, attempt, report);
-                if host.call_peer(owner, &request, REPORT_LIMIT).await.is_ok() {
+                if host.call_peer(owner, &request, REPORT_TIMEOUT).await.is_ok() {
                     return;
                 }
             }
--- a/src/host/ownership_loop.rs
+++ b/src/host/ownership_loop.rs
@@ -1,8 +1,8 @@
-//! Takes and leaves ownership of books.
+//! Acquires and releases the ownership of server ledgers.
 
 use super::host_state::{HostState, lock};
 use super::owned_server::OwnedServer;
-use super::poll_loop::{CLAIMS_LIMIT, poll_while_owned};
+use super::poll_loop::{CLAIMS_TIMEOUT, poll_while_owned};
 use crate::intents::ServerSpec;
 use crate::keys::{ServerKey, mix_hash};
 use crate::membership::{MemberState, MemberUpdate};
@@ -15,11 +15,11 @@
 
 const OWNERSHIP_TICK: Duration = Duration::from_millis(50);
 
-/// Keeps ownership in step with membership and configuration.
+/// Updates the ownership whenever the membership or the configuration changes.
 pub(super) async fn run_ownership(host: Arc<HostState>) {
     let mut seen = 0;
     loop {
-        let view = ownership_view(&host);
+        let view = ownership_hash(&host);
         if view != seen {
             seen = view;
             update_ownership(&host);
@@ -28,7 +28,8 @@
     }
 }
 
-fn ownership_view(host: &HostState) -> u64 {
+/// Hash of what ownership depends on: the configuration's version and the domain's living hosts.
+fn ownership_hash(host: &HostState) -> u64 {
     let version = host.config().version;
     let members = lock(&host.members);
     members
@@ -36,6 +37,7 @@
         .fold(version, |sum, (candidate, _)| sum.wrapping_add(mix_hash(candidate, 1)))
 }
 
+/// Drops ledgers that belong to other hosts, and rebuilds and polls the ones acquired.
 fn update_ownership(host: &Arc<HostState>) {
     let config = host.config();
     let domain = host.domain();
@@ -46,30 +48,30 @@
             wanted.insert(server.key(), server.clone());
         }
     }
-    let mut taken = Vec::new();
+    let mut acquired = Vec::new();
     {
         let mut owned = lock(&host.owned);
         owned.retain(|key, _| wanted.contains_key(key));
         for (key, spec) in wanted {
             if let std::collections::hash_map::Entry::Vacant(place) = owned.entry(key) {
-                let term = host.terms.fetch_add(1, Ordering::Relaxed);
+                let term = host.next_term.fetch_add(1, Ordering::Relaxed);
                 log::info!("event=book_taken server={} term={term}", spec.name);
                 place.insert(OwnedServer::new(ServerLedger::rebuilding(spec), term));
-                taken.push((key, term));
+                acquired.push((key, term));
             }
         }
     }
-    for (key, term) in taken {
+    for (key, term) in acquired {
         let host = Arc::clone(host);
         tokio::spawn(async move {
-            rebuild(&host, key).await;
+            rebuild_ledger(&host, key).await;
             poll_while_owned(host, key, term).await;
         });
     }
 }
 
-/// Asks the living hosts what their attempts claim on the server.
-async fn rebuild(host: &Arc<HostState>, key: ServerKey) {
+/// Rebuilds a ledger from the slots that all living hosts' attempts claim on the server.
+async fn rebuild_ledger(host: &Arc<HostState>, key: ServerKey) {
     let peers: Vec<MemberUpdate> = lock(&host.members)
         .records()
         .map(|record| record.update)
@@ -78,9 +80,9 @@
     let mut calls = tokio::task::JoinSet::new();
     for peer in peers {
         let host = Arc::clone(host);
-        calls.spawn(
-            async move { host.call_peer(peer, &PeerRequest::Claims(key), CLAIMS_LIMIT).await },
-        );
+        calls.spawn(async move {
+            host.call_peer(peer, &PeerRequest::Claims(key), CLAIMS_TIMEOUT).await
+        });
     }
     let mut claims = host.claims_on(key);
     while let Some(joined) = calls.join_next().await {
@@ -90,6 +92,6 @@
     }
     let now = host.now();
     if let Some(server) = lock(&host.owned).get_mut(&key) {
-        server.book.apply_claims(now, &claims);
+        server.ledger.apply_claims(now, &claims);
     }
 }
--- a/src/host/peer_desk.rs
+++ b/src/host/peer_handler.rs
@@ -1,4 +1,4 @@
-//! Answers the requests of other daemons.
+//! Handles requests from other daemons.
 
 use super::host_state::{HostState, lock};
 use crate::claims::KeyStatus;
@@ -12,21 +12,21 @@
 
     async fn handle(self: Arc<Self>, request: PeerRequest) -> PeerReply {
         match request {
-            PeerRequest::Quote(ask) => PeerReply::Offers(self.quote_here(&ask)),
-            PeerRequest::Hold(ask) => PeerReply::Held(self.hold_here(&ask)),
-            PeerRequest::Enqueue(server, ask) => {
-                PeerReply::Start(self.enqueue_here(server, &ask).await)
+            PeerRequest::Quote(request) => PeerReply::Offers(self.quote_locally(&request)),
+            PeerRequest::Hold(request) => PeerReply::Held(self.hold_locally(&request)),
+            PeerRequest::Enqueue(server, request) => {
+                PeerReply::Start(self.enqueue_locally(server, &request).await)
             }
             PeerRequest::Report(server, attempt, report) => {
-                self.report_here(server, attempt, report);
+                self.report_locally(server, attempt, report);
                 PeerReply::Acknowledged
             }
             PeerRequest::Claims(server) => PeerReply::Claims(self.claims_on(server)),
             PeerRequest::StillHeld(attempts) => PeerReply::StillHeld(self.still_held(&attempts)),
-            PeerRequest::Sync(news) => {
+            PeerRequest::Sync(updates) => {
                 let (actions, ours) = {
                     let mut members = lock(&self.members);
-                    (members.merge_all(self.now(), &news), members.all_updates())
+                    (members.merge_all(self.now(), &updates), members.all_updates())
                 };
                 self.execute_actions(actions);
                 PeerReply::Members(ours)
@@ -35,13 +35,13 @@
                 let config = self.config();
                 PeerReply::Config((config.version > version).then(|| (*config).clone()))
             }
-            PeerRequest::Claim(ask) => PeerReply::Claim(self.claim_here(ask).await),
+            PeerRequest::Claim(request) => PeerReply::Claim(self.claim_locally(request).await),
             PeerRequest::Present(key, attempt, body) => {
                 PeerReply::KeyStatus(self.present_claimed(key, attempt, body))
             }
             PeerRequest::Ticket { ticket, key, body_hash, service, path, body } => {
                 let config = self.config();
-                let presented = match config.service(&service) {
+                let status = match config.service(&service) {
                     Some(spec) => {
                         let spec = spec.clone();
                         let trace = TraceParent::new_trace();
@@ -49,12 +49,12 @@
                     }
                     None => KeyStatus::Unknown,
                 };
-                PeerReply::KeyStatus(presented)
+                PeerReply::KeyStatus(status)
             }
             PeerRequest::HandOver(server, claims) => {
                 let now = self.now();
                 if let Some(owned) = lock(&self.owned).get_mut(&server) {
-                    owned.book.apply_claims(now, &claims);
+                    owned.ledger.apply_claims(now, &claims);
                 }
                 PeerReply::Acknowledged
             }
--- a/src/host/place_request.rs
+++ b/src/host/place_request.rs
@@ -1,7 +1,7 @@
-//! What a request asks of the owners, and what their offers amount to.
+//! Builds the quote request for the owners of servers and evaluates their offers.
 
-use super::CompletionAsk;
-use super::attempt_guard::UsedServer;
+use super::CompletionRequest;
+use super::attempt_guard::ServerLocation;
 use super::completion_run::AnswerState;
 use super::host_state::{HostState, micros};
 use crate::intents::{ClusterConfig, ServerRole, ServerSpec};
@@ -10,14 +10,15 @@
 use crate::placement::{PairChoice, prefix_blocks, rank_pairs, rendezvous_rank};
 use std::time::Duration;
 
-/// Servers of one role asked for a quote; more than today's fleets have.
-pub(super) const CANDIDATES: usize = 8;
-/// Of these, so many lie where the prompt's first block is likely cached.
-const AFFINE_CANDIDATES: usize = 3;
-/// Kept free between the handoff and the deadline: a decode step, the hops, an engine's overrun.
-const FIRST_STEP: Duration = Duration::from_millis(110);
+/// Maximum number of servers of one role asked for a quote; today's fleets have fewer.
+pub(super) const MAX_CANDIDATES: usize = 8;
+/// Of these, the servers chosen because they are likely to have the prompt's first block cached.
+const CACHE_CANDIDATES: usize = 3;
+/// Time reserved between the handoff and the deadline for one decode step, the network hops and
+/// an engine that overruns its estimate.
+const FIRST_TOKEN_RESERVE: Duration = Duration::from_millis(110);
 
-/// Prompt tokens as the engines count them.
+/// Number of prompt tokens, counted as the engines count them.
 pub(super) fn prompt_tokens(prompt: &str) -> u32 {
     u32::try_from(prompt.split_whitespace().count()).unwrap_or(u32::MAX)
 }
@@ -25,7 +26,7 @@
 fn prompt_blocks(model: &str, prompt: &str) -> Vec<u64> {
     let seed = std::iter::once(stable_hash(model.as_bytes()));
     let words = prompt.split_whitespace().map(|word| stable_hash(word.as_bytes()));
-    // The model counts as nothing but the beginning of the chain.
+    // The model only salts the chain, so that equal prompts of two models have different blocks.
     let mut blocks = prefix_blocks(words);
     let salt = seed.fold(0, mix_hash);
     for block in &mut blocks {
@@ -34,42 +35,58 @@
     blocks
 }
 
-/// The question to the owners for one attempt.
-pub(super) fn place_ask(
+/// Builds the request for quotes for one attempt.
+pub(super) fn build_place_request(
     host: &HostState,
     config: &ClusterConfig,
-    ask: &CompletionAsk,
+    request: &CompletionRequest,
     answer: &AnswerState,
     attempt: AttemptId,
 ) -> PlaceRequest {
     let generated = u32::try_from(answer.generated.len()).unwrap_or(u32::MAX);
-    let tokens = prompt_tokens(&ask.prompt).saturating_add(generated);
-    let blocks = prompt_blocks(&ask.model.name, &ask.prompt);
-    let kv_bytes = u64::from(tokens) * ask.model.kv_bytes_per_token;
-    let left = answer.deadline.since(host.now()).saturating_sub(FIRST_STEP);
-    let first = blocks.first().copied().unwrap_or(attempt.serial);
+    let tokens = prompt_tokens(&request.prompt).saturating_add(generated);
+    let blocks = prompt_blocks(&request.model.name, &request.prompt);
+    let kv_bytes = u64::from(tokens) * request.model.kv_bytes_per_token;
+    let remaining = answer.deadline.since(host.now()).saturating_sub(FIRST_TOKEN_RESERVE);
+    let first_block = blocks.first().copied().unwrap_or(attempt.serial);
     PlaceRequest {
         attempt,
-        org: OrgKey::of(&ask.organisation),
-        model: format!("{}@{}", ask.model.name, ask.model.version),
+        org: OrgKey::of(&request.organisation),
+        model: format!("{}@{}", request.model.name, request.model.version),
         tokens,
         kv_bytes,
         not_before_in_micros: 0,
-        finish_in_micros: micros(left.saturating_sub(transfer_guess(config, kv_bytes))),
-        target_micros: micros(ask.first_token),
-        prefills: candidates(config, ServerRole::Prefill, &ask.model.name, host.domain(), first),
-        decodes: candidates(config, ServerRole::Decode, &ask.model.name, host.domain(), first),
+        finish_in_micros: micros(remaining.saturating_sub(estimate_transfer(config, kv_bytes))),
+        target_micros: micros(request.first_token),
+        prefills: candidates(
+            config,
+            ServerRole::Prefill,
+            &request.model.name,
+            host.domain(),
+            first_block,
+        ),
+        decodes: candidates(
+            config,
+            ServerRole::Decode,
+            &request.model.name,
+            host.domain(),
+            first_block,
+        ),
         blocks,
     }
 }
 
-fn transfer_guess(config: &ClusterConfig, kv_bytes: u64) -> Duration {
+/// Time that a KV cache takes to transfer over the slowest link of the fleet.
+fn estimate_transfer(config: &ClusterConfig, kv_bytes: u64) -> Duration {
     let slowest = config.servers.iter().map(|server| server.link_bytes_per_second).min();
     Duration::from_secs_f64(kv_bytes as f64 / slowest.unwrap_or(1).max(1) as f64)
 }
 
-/// All servers of small fleets; of large ones some by affinity to the prompt and the rest by
-/// chance, most of them in the home domain and the others in one other domain, so that pairs form.
+/// Chooses the servers of one role to ask for quotes.
+///
+/// A small fleet is asked whole. In a large one, some servers are chosen by cache affinity to the
+/// prompt and the rest at random. Most are in the home domain and the others in one single other
+/// domain, because a pair of prefill and decode servers needs both in the same domain.
 fn candidates(
     config: &ClusterConfig,
     role: ServerRole,
@@ -86,11 +103,11 @@
         .filter(serves)
         .map(|server| (server.domain_key(), server.key()))
         .collect();
-    if servers.len() <= CANDIDATES {
+    if servers.len() <= MAX_CANDIDATES {
         return servers.into_iter().map(|(_, key)| key).collect();
     }
-    let chance: u64 = rand::random();
-    let abroad = servers
+    let random_salt: u64 = rand::random();
+    let other_domain = servers
         .iter()
         .map(|(domain, _)| *domain)
         .filter(|domain| *domain != home)
@@ -99,60 +116,61 @@
     let mut chosen: Vec<ServerKey> = servers
         .iter()
         .filter(|(domain, _)| *domain == home)
-        .take(AFFINE_CANDIDATES)
+        .take(CACHE_CANDIDATES)
         .map(|(_, key)| *key)
         .collect();
-    servers.sort_by_key(|(_, key)| mix_hash(chance, key.0));
+    servers.sort_by_key(|(_, key)| mix_hash(random_salt, key.0));
     let mut add = |domain: Option<NameKey>, limit: usize| {
-        for (place, key) in &servers {
+        for (server_domain, key) in &servers {
             if chosen.len() >= limit {
                 break;
             }
-            if Some(*place) == domain && !chosen.contains(key) {
+            if Some(*server_domain) == domain && !chosen.contains(key) {
                 chosen.push(*key);
             }
         }
     };
-    add(Some(home), CANDIDATES - 2);
-    add(abroad, CANDIDATES);
+    add(Some(home), MAX_CANDIDATES - 2);
+    add(other_domain, MAX_CANDIDATES);
     chosen
 }
 
-/// All pairs that meet the deadline, the best first.
-pub(super) fn choose(
+/// Ranks all pairs of offers that meet the deadline, best first.
+pub(super) fn rank_offers(
     config: &ClusterConfig,
     offers: &PlaceOffers,
-    place: &PlaceRequest,
+    placement: &PlaceRequest,
 ) -> Vec<PairChoice> {
     let domain = |key: ServerKey| config.server(key).map(|server| server.domain_key());
     let prefills: Vec<_> =
-        offers.prefills.iter().filter_map(|q| Some((domain(q.server)?, *q))).collect();
+        offers.prefills.iter().filter_map(|quote| Some((domain(quote.server)?, *quote))).collect();
     let decodes: Vec<_> =
-        offers.decodes.iter().filter_map(|q| Some((domain(q.server)?, *q))).collect();
+        offers.decodes.iter().filter_map(|quote| Some((domain(quote.server)?, *quote))).collect();
     let slowest = decodes.iter().map(|(_, quote)| quote.transfer_micros).max().unwrap_or(0);
-    rank_pairs(&prefills, &decodes, place.finish_in_micros + slowest)
+    rank_pairs(&prefills, &decodes, placement.finish_in_micros + slowest)
 }
 
-/// Where both servers of a pair are.
-pub(super) fn used_pair(
+/// Looks up both servers of a pair in the configuration.
+pub(super) fn locate_pair(
     config: &ClusterConfig,
     pair: &PairChoice,
-) -> Option<(UsedServer, UsedServer)> {
-    Some((used(config, pair.prefill.server)?, used(config, pair.decode.server)?))
+) -> Option<(ServerLocation, ServerLocation)> {
+    Some((locate_server(config, pair.prefill.server)?, locate_server(config, pair.decode.server)?))
 }
 
-/// Where a server is, as the configuration tells.
-pub(super) fn used(config: &ClusterConfig, key: ServerKey) -> Option<UsedServer> {
+/// Looks up a server's domain and address in the configuration.
+pub(super) fn locate_server(config: &ClusterConfig, key: ServerKey) -> Option<ServerLocation> {
     let server = config.server(key)?;
-    Some(UsedServer { key, domain: server.domain_key(), address: server.address })
+    Some(ServerLocation { key, domain: server.domain_key(), address: server.address })
 }
 
-/// The reason to tell the caller, and the earliest time at which an owner expects room.
-pub(super) fn why_refused(offers: &PlaceOffers) -> (&'static str, u64) {
+/// Returns the reason to report to the caller and the shortest time, in microseconds, after which
+/// an owner expects capacity.
+pub(super) fn summarise_refusals(offers: &PlaceOffers) -> (&'static str, u64) {
     const FALLBACK_MICROS: u64 = 1_000_000;
-    let soonest = offers.refusals.iter().min_by_key(|(_, _, again)| *again);
+    let soonest = offers.refusals.iter().min_by_key(|(_, _, retry_micros)| *retry_micros);
     match soonest {
-        Some((_, reason, again)) => (reason.name(), *again),
+        Some((_, reason, retry_micros)) => (reason.name(), *retry_micros),
         None if offers.prefills.is_empty() || offers.decodes.is_empty() => {
             ("no_server", FALLBACK_MICROS)
         }
--- a/src/host/plain_call.rs
+++ b/src/host/plain_call.rs
@@ -1,7 +1,7 @@
-//! Calls to plain services that may be repeated.
+//! Calls to plain services that are safe to retry.
 
 use super::host_state::HostState;
-use super::in_flight::InFlight;
+use super::in_flight_guard::InFlightGuard;
 use super::service_call::call_service;
 use crate::claims::StoredAnswer;
 use crate::engines::HttpPool;
@@ -13,12 +13,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const CALL_LIMIT: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Forwards a call that may be repeated; tries each server of the service once.
+/// Forwards a call that is safe to retry, trying each server of the service once.
 ///
 /// # Errors
-/// If no server answered; the call may have run.
+/// If no server answered; the call may still have run.
 pub async fn forward_plain(
     host: &Arc<HostState>,
     service: &ServiceSpec,
@@ -27,13 +27,13 @@
     body: Bytes,
     trace: TraceParent,
 ) -> Result<StoredAnswer> {
-    let _flight = InFlight::begin(host);
-    let began = host.now();
+    let _in_flight = InFlightGuard::begin(host);
+    let started_at = host.now();
     let count = service.addresses.len();
     let start = rand::random::<u32>() as usize;
-    let mut last = Error::Refused(format!("service {} has no servers", service.name));
-    for turn in 0..count {
-        let address = service.addresses[(start + turn) % count];
+    let mut last_error = Error::Refused(format!("service {} has no servers", service.name));
+    for offset in 0..count {
+        let address = service.addresses[(start + offset) % count];
         let request = http::Request::builder()
             .method(method)
             .uri(path)
@@ -42,14 +42,14 @@
             .body(Full::new(body.clone()))
             .map_err(|error| Error::Protocol(error.to_string()))?;
         let call = async { call_service(HttpPool::connect(address).await?, request).await };
-        match tokio::time::timeout(CALL_LIMIT, call).await {
+        match tokio::time::timeout(CALL_TIMEOUT, call).await {
             Ok(Ok(answer)) => {
-                host.note_span(trace, "service", began, format!("server={address}"));
+                host.record_span(trace, "service", started_at, format!("server={address}"));
                 return Ok(answer);
             }
-            Ok(Err(error)) => last = error,
-            Err(_) => last = Error::Timeout,
+            Ok(Err(error)) => last_error = error,
+            Err(_) => last_error = Error::Timeout,
         }
     }
-    Err(last)
+    Err(last_error)
 }
--- a/src/host/plan_handler.rs
+++ b/src/host/plan_handler.rs
@@ -1,4 +1,4 @@
-//! Plans and confirms intents for operators.
+//! Handles the operators' requests to plan and confirm intents.
 
 use super::host_state::HostState;
 use crate::Error;
@@ -10,74 +10,81 @@
 
 const CONFIRM_TRIES: u32 = 4;
 
-/// What an operator confirms: the intent, and the plan that was shown.
+/// An operator's confirmation of an intent and of the plan that was shown for it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ConfirmRequest {
-    /// The intent's text.
+    /// Text of the intent.
     pub intent: String,
-    /// The configuration version that the plan was made from.
+    /// Configuration version that the plan was made from.
     pub base_version: u64,
-    /// The plan's digest.
+    /// Digest of the plan.
     pub digest: u64,
 }
 
-/// An answer to an operator.
+/// The reply to an operator.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OperatorReply {
     /// The plan.
     Plan(PlanDraft),
-    /// Confirmed; this version will be in force everywhere.
+    /// The plan is confirmed; every host will adopt this configuration version.
     Confirmed(u64),
-    /// The intent has findings, each with its place where it has one.
+    /// The intent has errors; each finding states its position, if it has one.
     Findings(Vec<String>),
-    /// The plan is stale: what changed since, and by whom.
+    /// The plan is stale; what has changed since, and by whom.
     Stale(Vec<String>),
-    /// The store did not settle it; ask for the status before trying again.
+    /// It is unknown whether the store took the write; check the status before trying again.
     Unsettled(String),
 }
 
 impl HostState {
-    /// Draws up the plan of an intent from the newest configuration that can be had.
+    /// Drafts the plan of an intent from the newest configuration available.
     pub fn plan(self: &Arc<Self>, text: &str) -> OperatorReply {
-        let intent = match read_intent(text) {
+        let intent = match parse_intent(text) {
             Ok(intent) => intent,
             Err(answer) => return answer,
         };
-        // The store knows the newest version; the one in force serves while it is away.
+        // The store has the newest version; while it is unavailable, the version in force is used.
         if let Err(error) = self.runtime.block_on(self.read_config()) {
             log::info!("event=planned_without_store cause=\"{error}\"");
         }
         match draft_plan(&self.config(), &intent) {
             Ok(plan) => OperatorReply::Plan(plan),
-            Err(refusal) => from_refusal(refusal),
+            Err(refusal) => refusal_reply(refusal),
         }
     }
 
-    /// Confirms a plan by a conditional write, read back when its answer is lost.
-    pub fn confirm(self: &Arc<Self>, ask: &ConfirmRequest) -> OperatorReply {
-        let intent = match read_intent(&ask.intent) {
+    /// Confirms a plan by a conditional write; if the answer is lost, reads the result back.
+    pub fn confirm(self: &Arc<Self>, request: &ConfirmRequest) -> OperatorReply {
+        let intent = match parse_intent(&request.intent) {
             Ok(intent) => intent,
             Err(answer) => return answer,
         };
         let change_id: u64 = rand::random();
-        let mut last = "the store gave no answer".to_owned();
+        let mut last_cause = "the store gave no answer".to_owned();
         for _ in 0..CONFIRM_TRIES {
             let current = match self.runtime.block_on(self.read_config()) {
                 Ok(current) => current,
                 Err(error) => {
-                    last = error.to_string();
+                    last_cause = error.to_string();
                     continue;
                 }
             };
-            // An earlier try whose answer was lost may have taken effect.
-            if let Some(note) = current.history.iter().find(|note| note.change_id == change_id) {
-                return OperatorReply::Confirmed(note.version);
-            }
-            let next = match apply_plan(&current, &intent, ask.base_version, ask.digest, change_id)
+            // An earlier write whose answer was lost may have taken effect.
+            if let Some(change) =
+                current.history.iter().find(|change| change.change_id == change_id)
             {
+                return OperatorReply::Confirmed(change.version);
+            }
+            let next = match apply_plan(
+                &current,
+                &intent,
+                request.base_version,
+                request.digest,
+                change_id,
+            ) {
                 Ok(next) => next,
-                Err(refusal) => return from_refusal(refusal),
+                Err(refusal) => return refusal_reply(refusal),
             };
             match self.runtime.block_on(self.write_config(&current, &next)) {
                 WriteOutcome::Written(object) => {
@@ -87,15 +94,15 @@
                     return OperatorReply::Confirmed(version);
                 }
                 WriteOutcome::Conflict => {}
-                WriteOutcome::Refused => last = "the store refused the write".to_owned(),
-                WriteOutcome::Unknown => last = "the store's answer was lost".to_owned(),
+                WriteOutcome::Refused => last_cause = "the store refused the write".to_owned(),
+                WriteOutcome::Unknown => last_cause = "the store's answer was lost".to_owned(),
             }
         }
-        OperatorReply::Unsettled(last)
+        OperatorReply::Unsettled(last_cause)
     }
 }
 
-fn read_intent(text: &str) -> std::result::Result<IntentSpec, OperatorReply> {
+fn parse_intent(text: &str) -> std::result::Result<IntentSpec, OperatorReply> {
     let source = SourceText { name: "intent".to_owned(), text: text.to_owned() };
     IntentSpec::try_from(&source).map_err(|error| match error {
         Error::Settings(findings) => OperatorReply::Findings(findings.lines()),
@@ -103,11 +110,11 @@
     })
 }
 
-fn from_refusal(refusal: PlanRefusal) -> OperatorReply {
+fn refusal_reply(refusal: PlanRefusal) -> OperatorReply {
     match refusal {
         PlanRefusal::Findings(findings) => OperatorReply::Findings(findings),
         PlanRefusal::Stale(changes) => OperatorReply::Stale(changes),
-        PlanRefusal::OtherPlan => OperatorReply::Findings(vec![
+        PlanRefusal::DigestMismatch => OperatorReply::Findings(vec![
             "the intent differs from the one that was planned; plan it again".to_owned(),
         ]),
     }
--- a/src/host/poll_loop.rs
+++ b/src/host/poll_loop.rs
@@ -1,4 +1,4 @@
-//! Polls the servers whose books are kept here.
+//! Polls the servers that this host owns.
 
 use super::host_state::{HostState, lock};
 use crate::engines::{CacheEvent, EngineLoad};
@@ -13,16 +13,16 @@
 use std::time::Duration;
 
 const POLL_PERIOD: Duration = Duration::from_millis(300);
-pub(super) const CLAIMS_LIMIT: Duration = Duration::from_millis(150);
+pub(super) const CLAIMS_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Polls every server, as a balancer without books does; only for the baselines.
+/// Polls every server, as a balancer without ledgers does; only the baseline policies use it.
 pub(super) async fn run_report_polls(host: Arc<HostState>) {
     loop {
         for server in &host.config().servers {
             let (host, server) = (Arc::clone(&host), server.clone());
             tokio::spawn(async move {
                 if let Ok(load) = host.engines.load(server.address, u64::MAX).await {
-                    note_load(&host, server.key(), &load);
+                    record_load(&host, server.key(), &load);
                 }
             });
         }
@@ -30,23 +30,23 @@
     }
 }
 
-/// Polls one server for as long as this ownership lasts.
+/// Polls one server for as long as the ownership of the given term lasts.
 pub(super) async fn poll_while_owned(host: Arc<HostState>, key: ServerKey, term: u64) {
     loop {
-        let Some((spec, cache_next)) = lock(&host.owned)
+        let Some((spec, next_cache_event)) = lock(&host.owned)
             .get(&key)
             .filter(|server| server.term == term)
-            .map(|server| (server.book.spec().clone(), server.cache_next))
+            .map(|server| (server.ledger.spec().clone(), server.next_cache_event))
         else {
             return;
         };
-        let asked_at = host.now();
-        match host.engines.load(spec.address, cache_next).await {
-            Ok(load) => take_in(&host, key, &spec, asked_at, load).await,
+        let requested_at = host.now();
+        match host.engines.load(spec.address, next_cache_event).await {
+            Ok(load) => apply_load(&host, key, &spec, requested_at, load).await,
             Err(_) => {
                 let now = host.now();
                 if let Some(server) = lock(&host.owned).get_mut(&key) {
-                    server.book.record_unresponsive(now);
+                    server.ledger.record_unresponsive(now);
                 }
             }
         }
@@ -54,44 +54,45 @@
     }
 }
 
-async fn take_in(
+/// Applies a polled load to the server's ledger, then settles untracked attempts and sends orders.
+async fn apply_load(
     host: &Arc<HostState>,
     key: ServerKey,
     spec: &ServerSpec,
-    asked_at: TimePoint,
+    requested_at: TimePoint,
     load: EngineLoad,
 ) {
-    note_load(host, key, &load);
+    record_load(host, key, &load);
     let now = host.now();
-    let facts = load_facts(asked_at, &load);
-    let view = facts.view.clone();
-    let strays = {
+    let report = server_report(requested_at, &load);
+    let view = report.view.clone();
+    let untracked = {
         let mut owned = lock(&host.owned);
         let Some(server) = owned.get_mut(&key) else {
             return;
         };
-        let strays = server.book.record_report(now, facts);
-        server.sweep.update_untracked(now, &strays);
+        let untracked = server.ledger.record_report(now, report);
+        server.orphans.update_untracked(now, &untracked);
         if load.cache.gap {
-            server.book.prefix.clear();
+            server.ledger.prefix.clear();
         }
         for event in &load.cache.events {
             match event {
-                CacheEvent::Stored(blocks) => server.book.prefix.record_stored(blocks),
-                CacheEvent::Evicted(blocks) => server.book.prefix.record_evicted(blocks),
+                CacheEvent::Stored(blocks) => server.ledger.prefix.record_stored(blocks),
+                CacheEvent::Evicted(blocks) => server.ledger.prefix.record_evicted(blocks),
             }
         }
-        server.cache_next = load.cache.next;
-        server.sweep.attempts_to_query()
+        server.next_cache_event = load.cache.next;
+        server.orphans.attempts_to_query()
     };
-    settle_strays(host, key, strays).await;
+    resolve_untracked(host, key, untracked).await;
     cancel_orphans(host, key, spec).await;
     send_order(host, spec, &view).await;
 }
 
-fn load_facts(asked_at: TimePoint, load: &EngineLoad) -> ServerReport {
+fn server_report(requested_at: TimePoint, load: &EngineLoad) -> ServerReport {
     ServerReport {
-        as_of: asked_at - Duration::from_millis(load.age_ms),
+        as_of: requested_at - Duration::from_millis(load.age_ms),
         view: ServerView {
             role: load.role,
             models: load.models.clone(),
@@ -105,7 +106,7 @@
     }
 }
 
-fn note_load(host: &HostState, key: ServerKey, load: &EngineLoad) {
+fn record_load(host: &HostState, key: ServerKey, load: &EngineLoad) {
     let report = LoadReport {
         backlog: Duration::from_millis(load.backlog_ms),
         requests: u32::try_from(load.held.len()).unwrap_or(u32::MAX),
@@ -115,17 +116,17 @@
     lock(&host.reports).record_report(key, report);
 }
 
-/// Asks the hosts of unknown attempts whether they still work for them.
-async fn settle_strays(host: &Arc<HostState>, key: ServerKey, strays: Vec<AttemptId>) {
+/// Asks the hosts of untracked attempts whether they still work on them.
+async fn resolve_untracked(host: &Arc<HostState>, key: ServerKey, untracked: Vec<AttemptId>) {
     let mut by_owner: HashMap<IncarnationId, Vec<AttemptId>> = HashMap::new();
-    for attempt in strays {
+    for attempt in untracked {
         by_owner.entry(attempt.owner).or_default().push(attempt);
     }
     for (incarnation, attempts) in by_owner {
         let held = if incarnation == host.incarnation {
             Some(host.still_held(&attempts))
         } else {
-            ask_still_held(host, incarnation, &attempts).await
+            query_still_held(host, incarnation, &attempts).await
         };
         let now = host.now();
         let mut owned = lock(&host.owned);
@@ -135,21 +136,22 @@
         for attempt in attempts {
             match &held {
                 Some(held) if held.contains(&attempt) => {
-                    server.sweep.record_claimed(attempt);
-                    server.book.slots.confirm(now, attempt, CLAIMED_TOKENS);
+                    server.orphans.record_claimed(attempt);
+                    server.ledger.slots.confirm(now, attempt, DEFAULT_CLAIM_TOKENS);
                 }
-                Some(_) => server.sweep.mark_disowned(attempt),
-                None => server.sweep.record_unreachable(now, attempt),
+                Some(_) => server.orphans.mark_disowned(attempt),
+                None => server.orphans.record_unreachable(now, attempt),
             }
         }
     }
 }
 
-/// Output tokens assumed of a claimed attempt whose allowance is not told.
-const CLAIMED_TOKENS: u32 = 64;
+/// Output tokens assumed for a claimed attempt, since the reply does not state its limit.
+const DEFAULT_CLAIM_TOKENS: u32 = 64;
 
-/// What the host says, nothing if it cannot be asked, or an empty list if it is dead.
-async fn ask_still_held(
+/// Attempts that a host still holds: an empty list if the host is dead, `None` if it cannot be
+/// reached.
+async fn query_still_held(
     host: &Arc<HostState>,
     incarnation: IncarnationId,
     attempts: &[AttemptId],
@@ -159,19 +161,20 @@
         return Some(Vec::new());
     }
     let request = PeerRequest::StillHeld(attempts.to_vec());
-    match host.call_peer(record.update, &request, CLAIMS_LIMIT).await {
+    match host.call_peer(record.update, &request, CLAIMS_TIMEOUT).await {
         Ok(PeerReply::StillHeld(held)) => Some(held),
         _ => None,
     }
 }
 
+/// Cancels attempts on the engine that have had no owner for long enough.
 async fn cancel_orphans(host: &Arc<HostState>, key: ServerKey, spec: &ServerSpec) {
     let due = {
         let now = host.now();
         let mut owned = lock(&host.owned);
         owned
             .get_mut(&key)
-            .map(|server| server.sweep.take_due_cancellations(now))
+            .map(|server| server.orphans.take_due_cancellations(now))
             .unwrap_or_default()
     };
     for attempt in due {
@@ -186,18 +189,20 @@
 }
 
 async fn send_order(host: &Arc<HostState>, spec: &ServerSpec, view: &ServerView) {
-    // Baselines never drain or reload: their bench orders nothing.
-    let order = |now| lock(&host.desk).next_order(now, &host.config(), spec, view);
-    if !spec.checks_fence && order(host.now()).is_none() {
+    // Under the baseline policies no order is ever due: their bench never drains or reloads a
+    // server.
+    let next_order = |now| lock(&host.order_planner).next_order(now, &host.config(), spec, view);
+    if !spec.checks_fence && next_order(host.now()).is_none() {
         let config = host.config();
         let checking = ServerSpec { checks_fence: true, ..spec.clone() };
-        let due = lock(&host.desk).next_order(host.now(), &config, &checking, view).is_some();
-        // Only a fresh look at the store allows an order to a server that checks no fence.
+        let due =
+            lock(&host.order_planner).next_order(host.now(), &config, &checking, view).is_some();
+        // A server that checks no fence may only be sent an order after a fresh read of the store.
         if !due || host.read_config().await.is_err() {
             return;
         }
     }
-    let Some(order) = order(host.now()) else {
+    let Some(order) = next_order(host.now()) else {
         return;
     };
     let result = host.engines.order(spec.address, &order).await;
@@ -212,18 +217,18 @@
 }
 
 impl HostState {
-    /// What attempts of this host claim on a server.
+    /// Slots that attempts of this host claim on a server.
     pub(super) fn claims_on(&self, key: ServerKey) -> Vec<SlotClaim> {
         lock(&self.attempts)
             .values()
-            .filter(|stay| stay.decode == Some(key))
-            .map(|stay| stay.claim)
+            .filter(|state| state.decode == Some(key))
+            .map(|state| state.claim)
             .collect()
     }
 
-    /// Those of `attempts` that this host still works for.
+    /// Those of `attempts` that this host still works on.
     pub(super) fn still_held(&self, attempts: &[AttemptId]) -> Vec<AttemptId> {
-        let known = lock(&self.attempts);
-        attempts.iter().copied().filter(|attempt| known.contains_key(attempt)).collect()
+        let held = lock(&self.attempts);
+        attempts.iter().copied().filter(|attempt| held.contains_key(attempt)).collect()
     }
 }
--- a/src/host/prefill_leg.rs
+++ b/src/host/prefill_phase.rs
@@ -1,7 +1,7 @@
-//! The part of an attempt on its prefill engine.
+//! The prefill phase of an attempt.
 
-use super::CompletionAsk;
-use super::attempt_guard::{AttemptGuard, UsedServer};
+use super::CompletionRequest;
+use super::attempt_guard::{AttemptGuard, ServerLocation};
 use super::completion_run::{AnswerState, AttemptEnd};
 use super::host_state::HostState;
 use crate::engines::{PrefillCall, PrefillReply};
@@ -11,50 +11,50 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Runs the prefill on its engine.
+/// Runs the prefill on its engine; fails if the engine takes longer than `limit`.
 pub(super) async fn run_prefill(
     host: &Arc<HostState>,
-    ask: &CompletionAsk,
+    request: &CompletionRequest,
     answer: &mut AnswerState,
     guard: &mut AttemptGuard,
     attempt: AttemptId,
-    server: UsedServer,
+    server: ServerLocation,
     limit: Duration,
 ) -> Result<PrefillReply, AttemptEnd> {
-    let began = host.now();
+    let started_at = host.now();
     let call = PrefillCall {
         attempt: attempt.to_string(),
-        request: ask.request.clone(),
-        model: ask.model.name.clone(),
-        adapter: ask.adapter.clone(),
-        prompt: ask.prompt.clone(),
+        request: request.id.clone(),
+        model: request.model.name.clone(),
+        adapter: request.adapter.clone(),
+        prompt: request.prompt.clone(),
         generated: answer.generated.clone(),
     };
     guard.begin_prefill(server);
-    answer.ran = true;
+    answer.reached_engine = true;
     let running = tokio::time::timeout(limit, host.engines.prefill(server.address, &call));
     let result = tokio::select! {
         result = running => result,
         () = answer.sink.closed() => return Err(AttemptEnd::CallerLeft),
     };
-    let Ok(Ok(done)) = result else {
+    let Ok(Ok(reply)) = result else {
         guard.end_prefill(StopReport::Failed);
-        let spent = host.now().since(began);
+        let spent = host.now().since(started_at);
         host.metrics().waste.record_wasted(WasteCause::PrefillFailed, spent);
         log::info!("event=prefill_failed attempt={attempt} server={}", server.address);
         return Err(AttemptEnd::Failed);
     };
-    let took_micros = done.took_micros;
-    guard.end_prefill(StopReport::Prefilled { tokens: done.computed_tokens, took_micros });
+    let took_micros = reply.took_micros;
+    guard.end_prefill(StopReport::Prefilled { tokens: reply.computed_tokens, took_micros });
     host.metrics().waste.record_done(Duration::from_micros(took_micros));
-    host.note_span(
-        ask.trace,
+    host.record_span(
+        request.trace,
         "prefill",
-        began,
+        started_at,
         format!(
             "attempt={attempt} computed={} cached={}",
-            done.computed_tokens, done.cached_tokens
+            reply.computed_tokens, reply.cached_tokens
         ),
     );
-    Ok(done)
+    Ok(reply)
 }
--- a/src/host/service_call.rs
+++ b/src/host/service_call.rs
@@ -1,4 +1,4 @@
-//! One exchange with a server of a plain service.
+//! One call to a server of a plain service.
 
 use crate::claims::StoredAnswer;
 use crate::engines::has_explicit_end;
@@ -9,13 +9,13 @@
 use hyper::client::conn::http1::SendRequest;
 use serde::de::IgnoredAny;
 
-/// Sends a call on a connection that carries no other one, and reads the whole answer.
+/// Sends a call on a connection of its own and reads the whole answer.
 ///
-/// Services send nothing back by which a late second answer could be told from the next call's, so a
-/// kept connection could give one caller's answer to another.
+/// The connection must not be reused: services send no id with their answers, so a late answer
+/// could be mistaken for that of the next call and delivered to the wrong caller.
 ///
 /// # Errors
-/// [`Error::Truncated`] if the answer may not be whole; any error if the call may have run.
+/// [`Error::Truncated`] if the answer may be incomplete. After any error the call may have run.
 pub(super) async fn call_service(
     mut sender: SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
@@ -24,7 +24,8 @@
     let status = response.status().as_u16();
     let has_explicit_end = has_explicit_end(&response);
     let body = response.into_body().collect().await?.to_bytes().to_vec();
-    // Where only the end of the connection ends an answer, one that broke off looks the same.
+    // If only the close of the connection ends the answer, a truncated answer looks like a whole
+    // one; in that case the body must be complete JSON.
     if !has_explicit_end && serde_json::from_slice::<IgnoredAny>(&body).is_err() {
         return Err(Error::Truncated);
     }
--- a/src/host/status_report.rs
+++ b/src/host/status_report.rs
@@ -7,60 +7,60 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-const SPANS_LIMIT: Duration = Duration::from_millis(500);
+const SPANS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A host as this host sees it.
+/// Status of another host, as this host sees it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its incarnation.
+    /// Incarnation of the host.
     pub incarnation: String,
-    /// Where its peers reach it.
+    /// Address on which its peers reach it.
     pub address: String,
-    /// What is believed of it.
+    /// State of the host in this host's member table.
     pub state: MemberState,
-    /// Whether it is in this host's failure domain.
+    /// Whether it is in the same failure domain as this host.
     pub same_domain: bool,
 }
 
-/// A backend server whose book this host keeps.
+/// Status of a backend server that this host owns.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ServerStatus {
-    /// Its name.
+    /// Name of the server.
     pub name: String,
-    /// Its role.
+    /// Role of the server.
     pub role: String,
-    /// Whether its book is rebuilt.
+    /// Whether its ledger is ready, not still being rebuilt.
     pub ready: bool,
-    /// Slots used or promised, for a decode server.
+    /// Slots in use or held, on a decode server.
     pub slots_used: usize,
-    /// Prefills that wait, for a prefill server.
+    /// Queued prefills, on a prefill server.
     pub waiting: usize,
-    /// Whether it is leaving.
+    /// Whether it is draining in order to leave.
     pub leaving: bool,
 }
 
-/// What a host tells operators of itself.
+/// Status of a host, as shown to operators.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HostStatus {
-    /// Its name.
+    /// Name of the host.
     pub host: String,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: String,
-    /// This life of it.
+    /// Current incarnation of the host.
     pub incarnation: String,
     /// Configuration version in force.
     pub config_version: u64,
-    /// Whether it serves.
+    /// Whether it serves requests.
     pub ready: bool,
-    /// Whether it drains.
+    /// Whether it is draining.
     pub draining: bool,
     /// Requests in flight.
     pub in_flight: u64,
-    /// Violated invariants since its start.
+    /// Number of invariant violations since it started.
     pub invariant_violations: u64,
-    /// The other hosts.
+    /// Status of the other hosts.
     pub members: Vec<MemberStatus>,
-    /// The books it keeps.
+    /// Status of the servers that it owns.
     pub servers: Vec<ServerStatus>,
 }
 
@@ -79,12 +79,12 @@
         let mut servers: Vec<ServerStatus> = lock(&self.owned)
             .values()
             .map(|server| ServerStatus {
-                name: server.book.spec().name.clone(),
-                role: server.book.spec().role.name().to_owned(),
-                ready: server.book.is_ready(),
-                slots_used: server.book.slots.used(),
-                waiting: server.book.queue.waiting_count(),
-                leaving: server.book.spec().leaving,
+                name: server.ledger.spec().name.clone(),
+                role: server.ledger.spec().role.name().to_owned(),
+                ready: server.ledger.is_ready(),
+                slots_used: server.ledger.slots.used(),
+                waiting: server.ledger.queue.waiting_count(),
+                leaving: server.ledger.spec().leaving,
             })
             .collect();
         servers.sort_by(|left, right| left.name.cmp(&right.name));
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Metrics in Prometheus text, with this moment's traffic counters.
+    /// Metrics in Prometheus text format, with the current traffic counters.
     pub fn metrics_text(&self) -> String {
         let (bytes, calls) = self.peers.traffic();
         let mut text = self.metrics().prometheus_text();
@@ -115,7 +115,7 @@
         text
     }
 
-    /// The spans of a trace from all living hosts.
+    /// Collects the spans of a trace from all living hosts.
     pub async fn gather_spans(self: &Arc<Self>, trace: u128) -> Vec<SpanRecord> {
         let mut spans = lock(&self.traces).spans_of(trace);
         let peers: Vec<_> = lock(&self.members)
@@ -127,7 +127,7 @@
         for peer in peers {
             let host = Arc::clone(self);
             calls.spawn(async move {
-                host.call_peer(peer, &PeerRequest::Spans(trace), SPANS_LIMIT).await
+                host.call_peer(peer, &PeerRequest::Spans(trace), SPANS_TIMEOUT).await
             });
         }
         while let Some(joined) = calls.join_next().await {
--- a/src/host/ticket_call.rs
+++ b/src/host/ticket_call.rs
@@ -1,45 +1,55 @@
-//! Calls that run at most once by a ticket of one incarnation.
+//! Calls that run at most once, identified by a ticket that one incarnation of a host issued.
 
 use super::host_state::{HostState, lock};
-use super::once_ask::{OnceAnswer, OnceAsk};
-use super::once_call::{RUN_LIMIT, execute};
+use super::once_call::{RUN_TIMEOUT, execute};
+use super::once_request::{OnceOutcome, OnceRequest};
 use crate::claims::{ClaimKey, KeyStatus, TicketId, TicketVerdict};
 use crate::intents::ServiceSpec;
 use crate::peers::{PeerReply, PeerRequest};
 use crate::telemetry::TraceParent;
 use std::sync::Arc;
 
-/// Runs the call on the ticket's holder, wherever it is.
+/// Runs the call on the host that holds the ticket, which may be this one.
 pub(super) async fn run_by_ticket(
     host: &Arc<HostState>,
-    ask: OnceAsk,
+    request: OnceRequest,
     ticket: TicketId,
-) -> OnceAnswer {
+) -> OnceOutcome {
     if ticket.holder == host.incarnation {
-        let (key, body) = (ask.claim_key(), ask.body_hash());
-        let presented =
-            host.spend_ticket(ticket, key, body, ask.service, ask.path, ask.body, ask.trace).await;
-        return presented.into();
+        let (key, body_hash) = (request.claim_key(), request.body_hash());
+        let status = host
+            .spend_ticket(
+                ticket,
+                key,
+                body_hash,
+                request.service,
+                request.path,
+                request.body,
+                request.trace,
+            )
+            .await;
+        return status.into();
     }
     let Some(holder) = lock(&host.members).record(ticket.holder).map(|record| record.update) else {
-        return OnceAnswer::Unknown("ticket_holder_gone");
+        return OnceOutcome::Unknown("ticket_holder_gone");
     };
-    let request = PeerRequest::Ticket {
+    let message = PeerRequest::Ticket {
         ticket,
-        key: ask.claim_key(),
-        body_hash: ask.body_hash(),
-        service: ask.service.name.clone(),
-        path: ask.path,
-        body: ask.body,
+        key: request.claim_key(),
+        body_hash: request.body_hash(),
+        service: request.service.name.clone(),
+        path: request.path,
+        body: request.body,
     };
-    match host.call_peer(holder, &request, RUN_LIMIT).await {
-        Ok(PeerReply::KeyStatus(presented)) => presented.into(),
-        _ => OnceAnswer::Unknown("ticket_holder_gone"),
+    match host.call_peer(holder, &message, RUN_TIMEOUT).await {
+        Ok(PeerReply::KeyStatus(status)) => status.into(),
+        _ => OnceOutcome::Unknown("ticket_holder_gone"),
     }
 }
 
 impl HostState {
-    /// Spends a ticket of this incarnation, or tells what became of it.
+    /// Redeems a ticket of this incarnation and runs its call, or returns the status of an earlier
+    /// use.
     #[expect(clippy::too_many_arguments, reason = "one for each field of the peers' message")]
     pub(super) async fn spend_ticket(
         self: &Arc<Self>,
@@ -53,21 +63,23 @@
     ) -> KeyStatus {
         let attempt = self.new_attempt();
         {
-            // The book entry stands before the ticket is spent, so that no repeat falls between.
-            let mut book = lock(&self.outcomes);
+            // Holds the outcome table's lock while the ticket is spent and its entry made, so that
+            // no retry finds the ticket spent without an entry.
+            let mut outcomes = lock(&self.outcomes);
             match lock(&self.tickets).present(self.now(), ticket) {
                 TicketVerdict::Void => return KeyStatus::Unknown,
                 TicketVerdict::Spent => {
-                    return match book.present(key, body_hash) {
-                        // Spent by another body or organisation, or not run: never again.
+                    return match outcomes.present(key, body_hash) {
+                        // The ticket was spent on another body or by another organisation, or its
+                        // call did not run: it cannot be used again.
                         KeyStatus::NeverSeen => KeyStatus::OtherBody,
                         known => known,
                     };
                 }
-                TicketVerdict::Spend => book.begin(self.now(), key, attempt, body_hash),
+                TicketVerdict::Spend => outcomes.begin(self.now(), key, attempt, body_hash),
             }
         }
-        let ask = OnceAsk {
+        let request = OnceRequest {
             service,
             path,
             organisation: String::new(),
@@ -77,7 +89,7 @@
             trace,
         };
         let host = Arc::clone(self);
-        let task = tokio::spawn(async move { execute(&host, &ask, key, attempt).await });
+        let task = tokio::spawn(async move { execute(&host, &request, key, attempt).await });
         match task.await {
             Ok(()) => lock(&self.outcomes).present_claimed(key, attempt, body_hash),
             Err(_) => KeyStatus::Unknown,
@@ -86,7 +98,8 @@
 }
 
 impl HostState {
-    /// Issues a ticket bound to this incarnation; none if too many are out or it drains.
+    /// Issues a ticket bound to this incarnation; `None` if too many are outstanding or the host is
+    /// draining.
     pub fn issue_ticket(&self) -> Option<TicketId> {
         if self.is_draining() {
             return None;
--- a/src/intents/active_config.rs
+++ b/src/intents/active_config.rs
@@ -1,19 +1,19 @@
 use super::ClusterConfig;
 use std::sync::Arc;
 
-/// The configuration in force on this host; it never goes back.
+/// The configuration in force on this host; its version never decreases.
 #[derive(Debug, Default)]
 pub struct ActiveConfig {
     current: Arc<ClusterConfig>,
 }
 
 impl ActiveConfig {
-    /// The configuration in force; version zero means none is confirmed yet.
+    /// Configuration in force; version zero means that none is confirmed yet.
     pub fn current(&self) -> Arc<ClusterConfig> {
         Arc::clone(&self.current)
     }
 
-    /// Adopts `config` if it is newer; true if it was adopted.
+    /// Adopts `config` if it is newer; returns whether it was adopted.
     pub fn adopt(&mut self, config: ClusterConfig) -> bool {
         if config.version <= self.current.version {
             return false;
--- a/src/intents/intent_spec.rs
+++ b/src/intents/intent_spec.rs
@@ -1,30 +1,30 @@
 use super::{ClassSpec, ModelSpec, OrgSpec, ServerRole, ServerSpec, ServiceSpec};
 
-/// A wanted change of a server's role.
+/// A requested change of a server's role.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RoleChange {
-    /// The server.
+    /// Name of the server.
     pub server: String,
     /// Its new role.
     pub role: ServerRole,
 }
 
-/// What an operator wants; every list is a change to the configuration in force.
+/// Changes that an operator requests; each list changes the configuration in force.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct IntentSpec {
-    /// Who states it.
+    /// Operator who states it.
     pub operator: String,
-    /// Models to add, or to serve in another version or with other adapters.
+    /// Models to add, or to serve with another version or other adapters.
     pub models: Vec<ModelSpec>,
-    /// Servers to join.
+    /// Servers to add.
     pub join: Vec<ServerSpec>,
-    /// Servers to leave.
+    /// Names of the servers to drain and remove.
     pub leave: Vec<String>,
-    /// Servers to change role.
+    /// Role changes of servers.
     pub role: Vec<RoleChange>,
     /// Services to add or change.
     pub services: Vec<ServiceSpec>,
-    /// Promises to classes of callers.
+    /// Caller classes to add or change.
     pub classes: Vec<ClassSpec>,
     /// Organisations to admit.
     pub organisations: Vec<OrgSpec>,
--- a/src/intents/mod.rs
+++ b/src/intents/mod.rs
@@ -1,10 +1,10 @@
-//! Intents: what operators state, the plan it implies, and the confirmed configuration.
+//! Operators' intents, the plans that they imply, and the confirmed configuration.
 //!
-//! Inputs are an intent and the configuration it was planned from; orders are a plan, or findings
-//! with their place, or the next configuration to write conditionally.
+//! The functions take an intent and the configuration that it applies to. They return a plan, the
+//! findings with their positions, or the next configuration, which the host writes conditionally.
 
 mod active_config;
-mod change_note;
+mod change_record;
 mod cluster_config;
 mod intent_spec;
 mod plan_draft;
@@ -13,7 +13,7 @@
 mod specs;
 
 pub use active_config::ActiveConfig;
-pub use change_note::ChangeNote;
+pub use change_record::ChangeRecord;
 pub use cluster_config::ClusterConfig;
 pub use intent_spec::{IntentSpec, RoleChange};
 pub use plan_draft::{PlanDraft, PlanStep, StepAction};
--- a/src/intents/plan_draft.rs
+++ b/src/intents/plan_draft.rs
@@ -1,52 +1,54 @@
 use super::ServerRole;
 use serde::{Deserialize, Serialize};
 
-/// One concrete change.
+/// One concrete change to the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StepAction {
-    /// Serve a model, or another version of it.
+    /// Serves a new model, or another version of a model.
     SetModel(String),
-    /// A server joins with its models.
+    /// Adds a server with its models.
     Join(String),
-    /// A server takes no new work, empties and leaves.
+    /// Drains a server and removes it.
     Leave(String),
-    /// A server empties and changes role.
+    /// Drains a server and changes its role.
     ChangeRole(String, ServerRole),
-    /// A service is added or changed.
+    /// Adds or changes a service.
     SetService(String),
-    /// A class is promised other targets.
+    /// Sets the latency targets of a class.
     SetClass(String),
-    /// An organisation is admitted.
+    /// Admits an organisation.
     AddOrganisation(String),
 }
 
 /// A step of a plan, with its cost and what blocks it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlanStep {
-    /// What changes.
+    /// The change itself.
     pub action: StepAction,
-    /// The change in words.
+    /// Description of the change.
     pub text: String,
-    /// Seconds of the weight store's rate that it takes; zero if no weights move.
+    /// Seconds that its weights take to load at the weight store's full rate; zero if none are
+    /// loaded.
     pub weight_store_seconds: f64,
-    /// When it can begin, in seconds after confirmation, behind earlier pulls of weights.
+    /// Seconds after the confirmation until it can start, since earlier weight downloads come
+    /// first.
     pub starts_after_seconds: f64,
-    /// What must happen first, in words.
+    /// Description of what must happen first, if anything.
     pub waits_for: Option<String>,
 }
 
-/// The concrete changes that an intent implies, tied to the version they were made from.
+/// The concrete changes that an intent implies, bound to the version they were made from.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlanDraft {
-    /// The configuration version that it was made from.
+    /// Configuration version that it was made from.
     pub base_version: u64,
     /// Hash of the intent and the steps.
     pub digest: u64,
-    /// Who stated the intent.
+    /// Operator who stated the intent.
     pub operator: String,
-    /// The steps, in order.
+    /// Steps, in order.
     pub steps: Vec<PlanStep>,
-    /// Consequences that the operator should know.
+    /// Consequences that the operator should know of.
     pub warnings: Vec<String>,
 }
--- a/src/intents/planner.rs
+++ b/src/intents/planner.rs
@@ -1,23 +1,25 @@
 use super::{
-    ChangeNote, ClusterConfig, IntentSpec, PlanDraft, PlanStep, ServerRole, ServerSpec, StepAction,
+    ChangeRecord, ClusterConfig, IntentSpec, PlanDraft, PlanStep, ServerRole, ServerSpec,
+    StepAction,
 };
 use crate::keys::stable_hash;
 
-/// Rate of the weight store, shared by all pulls (docs/OPERATIONS.md tells how to change it).
+/// Rate of the weight store, shared by all downloads (docs/OPERATIONS.md explains how to change
+/// it).
 const WEIGHT_STORE_BYTES_PER_SECOND: f64 = 2.0e9;
 
 /// Why an intent has no plan, or a plan is no longer valid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlanRefusal {
-    /// The intent contradicts the configuration; one line a finding.
+    /// The intent contradicts the configuration; one line per finding.
     Findings(Vec<String>),
-    /// The configuration moved on; what changed and by whom.
+    /// The configuration has changed since; what changed, and by whom.
     Stale(Vec<String>),
-    /// The steps differ from the ones that were shown.
-    OtherPlan,
+    /// The plan differs from the one that was shown.
+    DigestMismatch,
 }
 
-/// Draws up the plan that `intent` implies on `config`.
+/// Drafts the plan that `intent` implies for `config`.
 ///
 /// # Errors
 /// All findings together, if the intent contradicts the configuration or itself.
@@ -29,19 +31,20 @@
     let mut steps = Vec::new();
     add_model_steps(config, intent, &mut steps);
     add_server_steps(config, intent, &mut steps);
-    add_promise_steps(config, intent, &mut steps);
-    schedule_pulls(&mut steps);
+    add_remaining_steps(config, intent, &mut steps);
+    schedule_downloads(&mut steps);
     let text: String = steps.iter().map(|step| step.text.as_str()).collect::<Vec<_>>().join("\n");
     let digest = stable_hash(format!("{}\n{:?}\n{text}", config.version, intent).as_bytes());
-    let warnings = warn_of_consequences(&next_config(config, intent));
+    let warnings = consequence_warnings(&next_config(config, intent));
     let operator = intent.operator.clone();
     Ok(PlanDraft { base_version: config.version, digest, operator, steps, warnings })
 }
 
-/// The configuration that a confirmed plan makes.
+/// Returns the configuration that a confirmed plan results in.
 ///
 /// # Errors
-/// [`PlanRefusal::Stale`] if `config` is not the one that the plan was made from.
+/// [`PlanRefusal::Stale`] if `config` is not the one that the plan was made from;
+/// [`PlanRefusal::DigestMismatch`] if the intent's plan is not the one that was shown.
 pub fn apply_plan(
     config: &ClusterConfig,
     intent: &IntentSpec,
@@ -54,38 +57,38 @@
     }
     let plan = draft_plan(config, intent)?;
     if plan.digest != digest {
-        return Err(PlanRefusal::OtherPlan);
+        return Err(PlanRefusal::DigestMismatch);
     }
     let mut next = next_config(config, intent);
     next.version = config.version + 1;
     let steps = plan.steps.into_iter().map(|step| step.text).collect();
     let operator = intent.operator.clone();
-    next.history.push(ChangeNote { version: next.version, change_id, operator, steps });
-    let excess = next.history.len().saturating_sub(ClusterConfig::HISTORY);
+    next.history.push(ChangeRecord { version: next.version, change_id, operator, steps });
+    let excess = next.history.len().saturating_sub(ClusterConfig::HISTORY_LIMIT);
     next.history.drain(..excess);
     Ok(next)
 }
 
 fn find_contradictions(config: &ClusterConfig, intent: &IntentSpec) -> Vec<String> {
     let mut findings = Vec::new();
-    let known = |name: &str| config.servers.iter().find(|server| server.name == name);
-    let model_known = |name: &str| {
+    let find_server = |name: &str| config.servers.iter().find(|server| server.name == name);
+    let knows_model = |name: &str| {
         config.model(name).is_some() || intent.models.iter().any(|model| model.name == name)
     };
     for server in &intent.join {
-        if known(&server.name).is_some_and(|old| !old.leaving) {
+        if find_server(&server.name).is_some_and(|old| !old.leaving) {
             findings.push(format!("join: server {:?} is already part of the fleet", server.name));
         }
-        let twins = intent.join.iter().filter(|other| other.name == server.name).count();
-        if twins > 1 {
-            findings.push(format!("join: server {:?} is named {twins} times", server.name));
+        let mentions = intent.join.iter().filter(|other| other.name == server.name).count();
+        if mentions > 1 {
+            findings.push(format!("join: server {:?} is named {mentions} times", server.name));
         }
-        for model in server.models.iter().filter(|model| !model_known(model)) {
+        for model in server.models.iter().filter(|model| !knows_model(model)) {
             findings.push(format!("join: server {:?} wants unknown model {model:?}", server.name));
         }
     }
     for name in &intent.leave {
-        match known(name) {
+        match find_server(name) {
             None => findings.push(format!("leave: no server {name:?}")),
             Some(old) if old.leaving => {
                 findings.push(format!("leave: server {name:?} is leaving already"));
@@ -97,7 +100,7 @@
         }
     }
     for change in &intent.role {
-        match known(&change.server) {
+        match find_server(&change.server) {
             None => findings.push(format!("role: no server {:?}", change.server)),
             Some(old) if old.role == change.role => findings.push(format!(
                 "role: server {:?} has the role {} already",
@@ -115,8 +118,11 @@
         let holders = config.servers.iter().filter(|server| server.models.contains(&model.name));
         let old = config.model(&model.name);
         let reload = old.is_some_and(|old| old.version != model.version);
-        let seconds =
-            if reload { holders.count() as f64 * pull_seconds(model.weight_bytes) } else { 0.0 };
+        let seconds = if reload {
+            holders.count() as f64 * download_seconds(model.weight_bytes)
+        } else {
+            0.0
+        };
         let text = match old {
             None => format!("serve model {} in version {}", model.name, model.version),
             Some(old) if reload => {
@@ -137,23 +143,29 @@
     for server in &intent.join {
         let bytes: u64 = server.models.iter().map(|name| weight_bytes(config, intent, name)).sum();
         let text = join_text(server);
-        let wait = Some("its models are loaded".to_owned());
-        steps.push(step(StepAction::Join(server.name.clone()), text, pull_seconds(bytes), wait));
+        let waits_for = Some("its models are loaded".to_owned());
+        steps.push(step(
+            StepAction::Join(server.name.clone()),
+            text,
+            download_seconds(bytes),
+            waits_for,
+        ));
     }
     for change in &intent.role {
         let text = format!("drain {} and make it a {} server", change.server, change.role.name());
-        let wait = Some("its work in flight has ended".to_owned());
+        let waits_for = Some("its work in flight has ended".to_owned());
         let action = StepAction::ChangeRole(change.server.clone(), change.role);
-        steps.push(step(action, text, 0.0, wait));
+        steps.push(step(action, text, 0.0, waits_for));
     }
     for name in &intent.leave {
         let text = format!("give {name} no new work and let it empty");
-        let wait = Some("its work in flight has ended".to_owned());
-        steps.push(step(StepAction::Leave(name.clone()), text, 0.0, wait));
+        let waits_for = Some("its work in flight has ended".to_owned());
+        steps.push(step(StepAction::Leave(name.clone()), text, 0.0, waits_for));
     }
 }
 
-fn add_promise_steps(config: &ClusterConfig, intent: &IntentSpec, steps: &mut Vec<PlanStep>) {
+/// Adds the steps for services, classes and organisations.
+fn add_remaining_steps(config: &ClusterConfig, intent: &IntentSpec, steps: &mut Vec<PlanStep>) {
     for service in &intent.services {
         let verb = if config.service(&service.name).is_some() { "change" } else { "add" };
         let text =
@@ -193,26 +205,26 @@
     stated.or_else(|| config.model(name)).map_or(0, |model| model.weight_bytes)
 }
 
-fn pull_seconds(bytes: u64) -> f64 {
+fn download_seconds(bytes: u64) -> f64 {
     bytes as f64 / WEIGHT_STORE_BYTES_PER_SECOND
 }
 
-/// The weight store serves one pull at full rate after the other, in the order of the steps.
-fn schedule_pulls(steps: &mut [PlanStep]) {
-    let mut clock = 0.0;
+/// Schedules the weight downloads one after the other at full rate, in the order of the steps.
+fn schedule_downloads(steps: &mut [PlanStep]) {
+    let mut starts_after = 0.0;
     for step in steps.iter_mut().filter(|step| step.weight_store_seconds > 0.0) {
-        step.starts_after_seconds = clock;
-        clock += step.weight_store_seconds;
+        step.starts_after_seconds = starts_after;
+        starts_after += step.weight_store_seconds;
     }
 }
 
 fn next_config(config: &ClusterConfig, intent: &IntentSpec) -> ClusterConfig {
     let mut next = config.clone();
-    replace_by(&mut next.models, &intent.models, |model| model.name.as_str());
-    replace_by(&mut next.servers, &intent.join, |server| server.name.as_str());
-    replace_by(&mut next.services, &intent.services, |service| service.name.as_str());
-    replace_by(&mut next.classes, &intent.classes, |class| class.name.as_str());
-    replace_by(&mut next.organisations, &intent.organisations, |org| org.name.as_str());
+    upsert_by_name(&mut next.models, &intent.models, |model| model.name.as_str());
+    upsert_by_name(&mut next.servers, &intent.join, |server| server.name.as_str());
+    upsert_by_name(&mut next.services, &intent.services, |service| service.name.as_str());
+    upsert_by_name(&mut next.classes, &intent.classes, |class| class.name.as_str());
+    upsert_by_name(&mut next.organisations, &intent.organisations, |org| org.name.as_str());
     for server in &mut next.servers {
         server.leaving |= intent.leave.contains(&server.name);
         if let Some(change) = intent.role.iter().find(|change| change.server == server.name) {
@@ -222,16 +234,17 @@
     next
 }
 
-fn replace_by<T: Clone>(list: &mut Vec<T>, changes: &[T], name: impl Fn(&T) -> &str) {
+/// Replaces the entries of `list` that have the same name as a change and appends the others.
+fn upsert_by_name<T: Clone>(list: &mut Vec<T>, changes: &[T], name: impl Fn(&T) -> &str) {
     for change in changes {
         match list.iter().position(|old| name(old) == name(change)) {
-            Some(place) => list[place] = change.clone(),
+            Some(index) => list[index] = change.clone(),
             None => list.push(change.clone()),
         }
     }
 }
 
-fn warn_of_consequences(next: &ClusterConfig) -> Vec<String> {
+fn consequence_warnings(next: &ClusterConfig) -> Vec<String> {
     let mut warnings = Vec::new();
     for model in &next.models {
         for role in [ServerRole::Prefill, ServerRole::Decode] {
@@ -245,7 +258,7 @@
     }
     for server in next.servers.iter().filter(|server| !server.checks_fence && !server.leaving) {
         warnings.push(format!(
-            "server {} does not check fences: only its book's owner orders it, and only within 5 s of hearing the store",
+            "server {} does not check fences: only the owner of its ledger sends it orders, and only within 5 s of its last contact with the store",
             server.name
         ));
     }
--- a/src/intents/server_role.rs
+++ b/src/intents/server_role.rs
@@ -1,17 +1,17 @@
 use serde::{Deserialize, Serialize};
 
-/// What a backend server does.
+/// Role of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ServerRole {
-    /// Reads prompts and makes KV caches.
+    /// Processes prompts into KV caches.
     Prefill,
     /// Generates tokens from KV caches.
     Decode,
 }
 
 impl ServerRole {
-    /// The name used in settings and logs.
+    /// Name in settings and logs.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Prefill => "prefill",
--- a/src/intents/specs.rs
+++ b/src/intents/specs.rs
@@ -7,63 +7,63 @@
 /// A model that the fleet serves.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelSpec {
-    /// Its name, as callers send it.
+    /// Name, as callers send it.
     pub name: String,
-    /// The version that servers are to load.
+    /// Version that servers should load.
     pub version: String,
     /// Adapters that callers may name.
     pub adapters: Vec<String>,
-    /// Size of its weights, for the weight store's reckoning.
+    /// Size of the weights, from which their download time is estimated.
     pub weight_bytes: u64,
-    /// KV cache bytes of one prompt token.
+    /// KV cache bytes per prompt token.
     pub kv_bytes_per_token: u64,
 }
 
-/// A model backend server.
+/// A backend server that runs models.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerSpec {
-    /// Its name.
+    /// Name of the server.
     pub name: String,
-    /// Its failure domain.
+    /// Failure domain of the server.
     pub domain: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Which pool it serves in.
+    /// Role that it serves in.
     pub role: ServerRole,
-    /// Models that it is to hold.
+    /// Models that it should load.
     pub models: Vec<String>,
-    /// Requests that it decodes at once.
+    /// Number of requests that it decodes concurrently.
     pub slots: u32,
-    /// A first guess of its prefill rate; the owner learns the real one.
+    /// Initial estimate of its prefill rate; its owner measures the actual one.
     pub prefill_tokens_per_second: u32,
-    /// Rate of the link into it.
+    /// Rate of its inbound network link.
     pub link_bytes_per_second: u64,
-    /// Whether it checks the fence of an order.
+    /// Whether it rejects orders with an outdated fence.
     pub checks_fence: bool,
-    /// It takes no new work and is to be left alone once empty.
+    /// Whether it is leaving: it receives no new work, and no orders once it is empty.
     pub leaving: bool,
 }
 
 impl ServerSpec {
-    /// Its key.
+    /// Key of the server.
     pub fn key(&self) -> ServerKey {
         NameKey::of(&self.name)
     }
 
-    /// The key of its failure domain.
+    /// Key of its failure domain.
     pub fn domain_key(&self) -> NameKey {
         NameKey::of(&self.domain)
     }
 }
 
-/// A plain service beside the model engines.
+/// A plain service that callers reach besides the models.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceSpec {
-    /// Its name, the first part of the path that callers use.
+    /// Name, the first part of the path that callers use.
     pub name: String,
-    /// Its servers.
+    /// Addresses of its servers.
     pub addresses: Vec<SocketAddr>,
-    /// Paths whose POST must run at most once.
+    /// Paths whose POST requests must run at most once.
     pub once_paths: Vec<String>,
 }
 
@@ -74,19 +74,19 @@
     }
 }
 
-/// What a class of caller is promised.
+/// Latency targets of a caller class.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassSpec {
-    /// Its name, as callers send it.
+    /// Name, as callers send it.
     pub name: String,
-    /// Time to first token, in milliseconds.
+    /// Target time to first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Time between tokens, in milliseconds.
+    /// Target time between tokens, in milliseconds.
     pub between_tokens_ms: u64,
 }
 
 impl ClassSpec {
-    /// Time to first token.
+    /// Target time to first token.
     pub fn first_token(&self) -> Duration {
         Duration::from_millis(self.first_token_ms)
     }
@@ -95,6 +95,6 @@
 /// An organisation that shares the fleet with others.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrgSpec {
-    /// Its name, as callers send it.
+    /// Name, as callers send it.
     pub name: String,
 }
