--- a/src/accounts/call_outcome.rs
+++ b/src/accounts/call_outcome.rs
@@ -4,23 +4,23 @@
 /// How a request ended for its caller.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallOutcome {
-    /// Answered within the objective; a stream without a pause over its limit.
+    /// Answered within the objective; a stream also without a pause over its limit.
     InTime,
-    /// Answered whole, but later than the objective.
+    /// Answered completely, but later than the objective.
     Late,
-    /// A whole stream that paused longer than its route allows.
+    /// A complete stream that paused longer than its route allows.
     Paused,
-    /// Refused as not run, for this reason.
+    /// Refused without being run, for this reason.
     Refused(String),
-    /// Ended otherwise, for this cause.
+    /// Ended in any other way, for this cause.
     Failed(String),
-    /// It ran at a server, and its host ended before it.
+    /// Ran at a server when its host ended.
     LostWithHost,
 }
 
 impl CallOutcome {
-    /// How a log line says that a request ended; `None` if the line says nothing of the kind.
-    pub fn read(record: &LogRecord) -> Option<Self> {
+    /// Reads the outcome of a request from a log line; `None` if the line does not end a request.
+    pub fn from_record(record: &LogRecord) -> Option<Self> {
         match record.event.as_str() {
             "stream_ended" => Some(stream_outcome(record)),
             "call_ended" => Some(call_outcome(record)),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Its name in tables.
+    /// Returns the name used in tables.
     pub fn name(&self) -> String {
         match self {
             Self::InTime => "in time".to_owned(),
@@ -46,10 +46,10 @@
     if outcome != "whole" {
         return CallOutcome::Failed(outcome.to_owned());
     }
-    if is_over(record.millis("first_ms"), record.millis("objective_ms")) {
+    if exceeds_limit(record.millis("first_ms"), record.millis("objective_ms")) {
         return CallOutcome::Late;
     }
-    if is_over(record.millis("pause_ms"), record.millis("pause_limit_ms")) {
+    if exceeds_limit(record.millis("pause_ms"), record.millis("pause_limit_ms")) {
         return CallOutcome::Paused;
     }
     CallOutcome::InTime
@@ -61,7 +61,7 @@
         "answered" if !record.text("status").starts_with('2') => {
             CallOutcome::Failed(format!("{cause} {}", record.text("status")))
         }
-        "answered" if is_over(record.millis("took_ms"), record.millis("objective_ms")) => {
+        "answered" if exceeds_limit(record.millis("took_ms"), record.millis("objective_ms")) => {
             CallOutcome::Late
         }
         "answered" => CallOutcome::InTime,
@@ -70,8 +70,8 @@
     }
 }
 
-/// Whether something took longer than its limit; without a limit, nothing does.
-fn is_over(took: Option<Duration>, limit: Option<Duration>) -> bool {
+/// Returns whether `took` exceeds `limit`; a missing or zero limit is never exceeded.
+fn exceeds_limit(took: Option<Duration>, limit: Option<Duration>) -> bool {
     match (took, limit) {
         (Some(took), Some(limit)) => !limit.is_zero() && took > limit,
         _ => false,
--- a/src/accounts/mod.rs
+++ b/src/accounts/mod.rs
@@ -1,7 +1,7 @@
-//! Accounts tell from the hosts' log lines how requests ended, when and why.
+//! Summarises from the log lines of hosts how requests ended, when and why.
 //!
-//! Inputs are log lines of any number of hosts, in any order of hosts; the result is a table. What
-//! no host wrote down, as requests that reached none, is not in it.
+//! The input is the log lines of any number of hosts, in any order of hosts; the result is a table. Requests
+//! that no host logged, such as those that reached no host, are missing from it.
 
 mod call_account;
 mod call_outcome;
--- a/src/bin/tealcleat/controller.rs
+++ b/src/bin/tealcleat/controller.rs
@@ -86,7 +86,7 @@
             lines += 1;
             if let Ok(record) = LogRecord::try_from(line?.as_str()) {
                 known += 1;
-                account.note(&record);
+                account.add_record(&record);
             }
         }
     }
--- a/src/bin/tealcleat/output.rs
+++ b/src/bin/tealcleat/output.rs
@@ -23,7 +23,7 @@
 pub fn print_account(rows: &[AccountRow]) {
     println!("{:>8}  {:<24}  {:<32}  requests", "from s", "route", "ended");
     for row in rows {
-        let (window, outcome) = (row.window, row.outcome.name());
+        let (window, outcome) = (row.window_start, row.outcome.name());
         println!("{window:>8}  {:<24}  {outcome:<32}  {}", row.route, row.requests);
     }
 }
--- a/src/operators/mod.rs
+++ b/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! Operators is the edge to the people who run the fleet: `rouille`, on a port of its own.
+//! The HTTP interface for operators, served with `rouille` on a port of its own.
 
 mod operator_server;
 
--- a/src/operators/operator_server.rs
+++ b/src/operators/operator_server.rs
@@ -8,26 +8,26 @@
 use std::sync::Arc;
 use tokio::runtime::Handle;
 
-const BODY_LIMIT: u64 = 4 << 20;
-const THREADS: usize = 4;
+const MAX_BODY_BYTES: u64 = 4 << 20;
+const WORKER_THREADS: usize = 4;
 
-/// Serves operators on threads of its own; returns the bound address.
+/// Serves operators on threads of its own and returns the bound address.
 ///
 /// # Errors
-/// If the port cannot be bound.
+/// Fails if the port cannot be bound.
 pub fn serve_operators(host: Arc<HostState>, runtime: Handle) -> Result<SocketAddr> {
     let address = host.settings.operators_listen;
-    let handler = move |request: &Request| answer(&host, &runtime, request);
+    let handler = move |request: &Request| handle_request(&host, &runtime, request);
     let server = rouille::Server::new(address, handler)
         .map_err(|error| Error::Io(std::io::Error::other(format!("{address}: {error}"))))?
-        .pool_size(THREADS);
+        .pool_size(WORKER_THREADS);
     let bound = server.server_addr();
     std::thread::spawn(move || server.run());
     Ok(bound)
 }
 
-fn answer(host: &Arc<HostState>, runtime: &Handle, request: &Request) -> Response {
-    if !is_proven(host, request) {
+fn handle_request(host: &Arc<HostState>, runtime: &Handle, request: &Request) -> Response {
+    if !is_authorized(host, request) {
         return Response::text("the operator key is missing or wrong\n").with_status_code(401);
     }
     match (request.method(), request.url().as_str()) {
@@ -49,7 +49,7 @@
             Response::json(&host.status())
         }
         ("GET", path) => match path.strip_prefix("/trace/") {
-            Some(id) => trace(host, runtime, id),
+            Some(id) => trace_response(host, runtime, id),
             None => Response::text(format!("no route for {path:?}\n")).with_status_code(404),
         },
         (method, path) => {
@@ -58,15 +58,15 @@
     }
 }
 
-fn trace(host: &Arc<HostState>, runtime: &Handle, id: &str) -> Response {
+fn trace_response(host: &Arc<HostState>, runtime: &Handle, id: &str) -> Response {
     match u128::from_str_radix(id, 16) {
         Ok(trace) => Response::json(&runtime.block_on(host.gather_spans(trace))),
         Err(_) => Response::text(format!("{id:?} is not a trace id\n")).with_status_code(400),
     }
 }
 
-/// Compares keyed hashes, so that the time taken tells nothing about the key.
-fn is_proven(host: &HostState, request: &Request) -> bool {
+/// Compares keyed hashes of the operator keys, so that the response time reveals nothing about the key.
+fn is_authorized(host: &HostState, request: &Request) -> bool {
     let given = request.header("authorization").and_then(|value| value.strip_prefix("Bearer "));
     let Some(given) = given else { return false };
     let hash = |key: &str| {
@@ -76,15 +76,17 @@
         })
     };
     match (hash(given), hash(&host.settings.operator_key)) {
-        (Ok(given), Ok(right)) => given.verify_slice(&right.finalize().into_bytes()).is_ok(),
+        (Ok(given), Ok(expected)) => given.verify_slice(&expected.finalize().into_bytes()).is_ok(),
         _ => false,
     }
 }
 
 fn read_text(request: &Request) -> Result<String> {
-    let body = request.data().ok_or_else(|| Error::Refused("the body is gone".to_owned()))?;
+    let body = request
+        .data()
+        .ok_or_else(|| Error::Refused("the request body has already been read".to_owned()))?;
     let mut text = String::new();
-    body.take(BODY_LIMIT).read_to_string(&mut text)?;
+    body.take(MAX_BODY_BYTES).read_to_string(&mut text)?;
     Ok(text)
 }
 
--- a/src/settings/field_reader.rs
+++ b/src/settings/field_reader.rs
@@ -3,25 +3,25 @@
 use jsonc_parser::common::Ranged;
 use std::str::FromStr;
 
-/// Reads the fields of one JSON object and collects what is wrong with them.
+/// Reads the fields of a JSON object and collects findings about them.
 ///
-/// Each read names a key; [`Self::finish`] then reports keys that nobody asked for, with the
-/// nearest one that was asked for.
+/// Each read registers its key as known. [`Self::finish`] reports all other keys as unknown and
+/// suggests the most similar known key.
 #[derive(Debug)]
 pub struct FieldReader<'a, 'f> {
     object: &'a Object<'a>,
-    asked: Vec<&'static str>,
+    known_keys: Vec<&'static str>,
     findings: &'f mut Vec<Finding>,
 }
 
 impl<'a, 'f> FieldReader<'a, 'f> {
-    /// Begins to read `object`.
+    /// Creates a reader of `object` that appends to `findings`.
     pub fn new(object: &'a Object<'a>, findings: &'f mut Vec<Finding>) -> Self {
-        Self { object, asked: Vec::new(), findings }
+        Self { object, known_keys: Vec::new(), findings }
     }
 
-    /// Records a finding about a key's value, or about the object if the key is missing.
-    pub fn find(&mut self, key: &str, message: String) {
+    /// Reports a finding at the value of `key`, or at the start of the object if the key is missing.
+    pub fn report(&mut self, key: &str, message: String) {
         let (offset, length) = match self.property(key).map(|property| property.value.range()) {
             Some(range) => (range.start, range.end - range.start),
             None => (self.object.range.start, 1),
@@ -29,48 +29,48 @@
         self.findings.push(Finding { message, offset, length });
     }
 
-    /// A string that must be there and not be empty.
+    /// Reads a required string that must not be empty.
     pub fn string(&mut self, key: &'static str) -> String {
         match self.optional_string(key) {
             Some(text) if !text.is_empty() => text,
             Some(_) => {
-                self.find(key, format!("{key} must not be empty"));
+                self.report(key, format!("{key} must not be empty"));
                 String::new()
             }
             None => {
-                self.missing(key);
+                self.report_missing(key);
                 String::new()
             }
         }
     }
 
-    /// A string that may be left out.
+    /// Reads an optional string.
     pub fn optional_string(&mut self, key: &'static str) -> Option<String> {
         match self.value(key)? {
             Value::StringLit(text) => Some(text.value.to_string()),
             _ => {
-                self.find(key, format!("{key} must be a string"));
+                self.report(key, format!("{key} must be a string"));
                 Some(" ".to_owned())
             }
         }
     }
 
-    /// A string that parses, such as an address; must be there.
-    pub fn parsed<T: FromStr>(&mut self, key: &'static str, what: &str, fallback: T) -> T {
+    /// Reads a required string and parses it, such as an address; `expected` describes its format.
+    pub fn parsed<T: FromStr>(&mut self, key: &'static str, expected: &str, fallback: T) -> T {
         if self.property(key).is_none() {
-            self.missing(key);
+            self.report_missing(key);
         }
-        self.optional_parsed(key, what).unwrap_or(fallback)
+        self.optional_parsed(key, expected).unwrap_or(fallback)
     }
 
-    /// A string that parses; may be left out.
-    pub fn optional_parsed<T: FromStr>(&mut self, key: &'static str, what: &str) -> Option<T> {
+    /// Reads an optional string and parses it; `expected` describes its format.
+    pub fn optional_parsed<T: FromStr>(&mut self, key: &'static str, expected: &str) -> Option<T> {
         let text = self.optional_string(key)?;
-        let wrong = |_error| self.find(key, format!("{key} must be {what}, not {text:?}"));
-        text.parse().map_err(wrong).ok()
+        let report = |_error| self.report(key, format!("{key} must be {expected}, not {text:?}"));
+        text.parse().map_err(report).ok()
     }
 
-    /// A whole number within bounds; `default` if it may be left out.
+    /// Reads a whole number within `bounds`; it is required unless there is a `default`.
     pub fn number(
         &mut self,
         key: &'static str,
@@ -80,7 +80,7 @@
         let low = *bounds.start();
         let Some(value) = self.value(key) else {
             if default.is_none() {
-                self.missing(key);
+                self.report_missing(key);
             }
             return default.unwrap_or(low);
         };
@@ -93,25 +93,25 @@
             _ => {
                 let message =
                     format!("{key} must be a whole number from {low} to {}", bounds.end());
-                self.find(key, message);
+                self.report(key, message);
                 low
             }
         }
     }
 
-    /// A whole number within bounds that may be left out.
+    /// Reads an optional whole number within `bounds`.
     pub fn optional_number(
         &mut self,
         key: &'static str,
         bounds: std::ops::RangeInclusive<u64>,
     ) -> Option<u64> {
         self.property(key).is_some().then(|| self.number(key, bounds, None)).or_else(|| {
-            self.asked.push(key);
+            self.known_keys.push(key);
             None
         })
     }
 
-    /// A number within bounds; `default` if left out.
+    /// Reads an optional number within `bounds`.
     pub fn decimal(
         &mut self,
         key: &'static str,
@@ -130,57 +130,57 @@
             _ => {
                 let message =
                     format!("{key} must be a number from {} to {}", bounds.start(), bounds.end());
-                self.find(key, message);
+                self.report(key, message);
                 default
             }
         }
     }
 
-    /// True or false; `default` if left out.
+    /// Reads an optional boolean.
     pub fn flag(&mut self, key: &'static str, default: bool) -> bool {
         match self.value(key) {
             None => default,
             Some(Value::BooleanLit(flag)) => flag.value,
             Some(_) => {
-                self.find(key, format!("{key} must be true or false"));
+                self.report(key, format!("{key} must be true or false"));
                 default
             }
         }
     }
 
-    /// A list of strings; empty if left out.
+    /// Reads a list of strings; a missing key yields an empty list.
     pub fn strings(&mut self, key: &'static str) -> Vec<String> {
         let Some(value) = self.value(key) else {
             return Vec::new();
         };
         let Value::Array(list) = value else {
-            self.find(key, format!("{key} must be a list of strings"));
+            self.report(key, format!("{key} must be a list of strings"));
             return Vec::new();
         };
         let mut strings = Vec::new();
         for element in &list.elements {
             match element {
                 Value::StringLit(text) => strings.push(text.value.to_string()),
-                other => self.find_at(other, format!("{key} must hold only strings")),
+                other => self.report_at(other, format!("{key} must hold only strings")),
             }
         }
         strings
     }
 
-    /// A list of strings that parse.
-    pub fn parsed_list<T: FromStr>(&mut self, key: &'static str, what: &str) -> Vec<T> {
+    /// Reads a list of strings and parses each; `expected` describes their format.
+    pub fn parsed_list<T: FromStr>(&mut self, key: &'static str, expected: &str) -> Vec<T> {
         let texts = self.strings(key);
         let mut values = Vec::new();
         for text in texts {
             match text.parse() {
                 Ok(value) => values.push(value),
-                Err(_) => self.find(key, format!("{key} must hold {what}, not {text:?}")),
+                Err(_) => self.report(key, format!("{key} must hold {expected}, not {text:?}")),
             }
         }
         values
     }
 
-    /// A list of objects, each read by `read`; empty if left out.
+    /// Reads a list of objects, each with `read`; a missing key yields an empty list.
     pub fn objects<T>(
         &mut self,
         key: &'static str,
@@ -190,7 +190,7 @@
             return Vec::new();
         };
         let Value::Array(list) = value else {
-            self.find(key, format!("{key} must be a list of objects"));
+            self.report(key, format!("{key} must be a list of objects"));
             return Vec::new();
         };
         let mut items = Vec::new();
@@ -200,53 +200,53 @@
                 items.push(read(&mut reader));
                 reader.finish();
             } else {
-                self.find_at(element, format!("{key} must hold only objects"));
+                self.report_at(element, format!("{key} must hold only objects"));
             }
         }
         items
     }
 
-    /// Reports keys that were not asked for, and keys that stand twice.
+    /// Reports unknown keys and duplicate keys.
     pub fn finish(self) {
-        for (place, property) in self.object.properties.iter().enumerate() {
+        for (index, property) in self.object.properties.iter().enumerate() {
             let name = property.name.as_str();
             let range = property.name.range();
             let length = range.end - range.start;
-            if self.object.properties[..place].iter().any(|other| other.name.as_str() == name) {
+            if self.object.properties[..index].iter().any(|other| other.name.as_str() == name) {
                 let message = format!("{name} stands twice");
                 self.findings.push(Finding { message, offset: range.start, length });
             }
-            if self.asked.contains(&name) {
+            if self.known_keys.contains(&name) {
                 continue;
             }
-            let nearest = self.asked.iter().max_by(|left, right| {
+            let nearest = self.known_keys.iter().max_by(|left, right| {
                 strsim::jaro_winkler(name, left).total_cmp(&strsim::jaro_winkler(name, right))
             });
-            let hint = nearest.map_or(String::new(), |near| format!("; did you mean {near:?}?"));
+            let hint = nearest.map_or(String::new(), |known| format!("; did you mean {known:?}?"));
             let message = format!("unknown key {name:?}{hint}");
             self.findings.push(Finding { message, offset: range.start, length });
         }
     }
 
     fn value(&mut self, key: &'static str) -> Option<&'a Value<'a>> {
-        self.asked.push(key);
+        self.known_keys.push(key);
         self.property(key).map(|property| &property.value)
     }
 
-    /// A key whose value is `null` counts as left out.
+    /// Finds the property of `key`; one whose value is `null` counts as missing.
     fn property(&self, key: &str) -> Option<&'a ObjectProp<'a>> {
-        let stated = |property: &&ObjectProp<'a>| {
+        let is_present = |property: &&ObjectProp<'a>| {
             property.name.as_str() == key && !matches!(property.value, Value::NullKeyword(_))
         };
-        self.object.properties.iter().find(stated)
+        self.object.properties.iter().find(is_present)
     }
 
-    fn missing(&mut self, key: &str) {
+    fn report_missing(&mut self, key: &str) {
         let offset = self.object.range.start;
         self.findings.push(Finding { message: format!("{key} is missing"), offset, length: 1 });
     }
 
-    fn find_at(&mut self, value: &Value<'_>, message: String) {
+    fn report_at(&mut self, value: &Value<'_>, message: String) {
         let range = value.range();
         self.findings.push(Finding {
             message,
@@ -256,10 +256,10 @@
     }
 }
 
-/// Parses `source` and reads its outermost object with `read`.
+/// Parses `source` and reads its top-level object with `read`.
 ///
 /// # Errors
-/// All findings together.
+/// Returns all findings in one error.
 pub(super) fn read_object<T>(
     source: &super::SourceText,
     kind: &str,
@@ -285,9 +285,9 @@
         return Err(source.error(vec![Finding { message, offset: 0, length: 1 }]));
     };
     let mut reader = FieldReader::new(object, &mut findings);
-    let stated = reader.string("kind");
-    if !stated.is_empty() && stated != kind {
-        reader.find("kind", format!("kind must be {kind:?}, not {stated:?}"));
+    let actual = reader.string("kind");
+    if !actual.is_empty() && actual != kind {
+        reader.report("kind", format!("kind must be {kind:?}, not {actual:?}"));
     }
     let item = read(&mut reader);
     reader.finish();
--- a/src/settings/finding.rs
+++ b/src/settings/finding.rs
@@ -1,10 +1,10 @@
-/// One thing wrong with a text, and where.
+/// A problem in a settings file or an intent, and its location.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
-    /// What is wrong, and what would be right.
+    /// The problem and what is expected instead.
     pub message: String,
-    /// Byte offset of the place.
+    /// Byte offset of the affected text.
     pub offset: usize,
-    /// Length of the place in bytes.
+    /// Length of the affected text in bytes.
     pub length: usize,
 }
--- a/src/settings/gateway_settings.rs
+++ b/src/settings/gateway_settings.rs
@@ -1,49 +1,51 @@
 use super::SourceText;
 use super::field_reader::{FieldReader, read_object};
-use super::host_settings::{NOWHERE, SHORTEST_KEY, read_level};
+use super::host_settings::{MIN_KEY_LENGTH, PLACEHOLDER_ADDRESS, read_log_level};
 use crate::limits::LimitBounds;
 use crate::retries::RetryBounds;
 use crate::{Error, Result};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bounds that the platform sets; a changed settings file puts new ones in force at once.
+/// Bounds that the platform sets. A reload of the settings file applies new ones without a restart.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct GatewayBounds {
-    /// How long the platform waits between asking this process to stop and ending it.
+    /// How long the platform waits between SIGTERM to this process and killing it.
     pub grace_period: Duration,
-    /// Bounds on repeats, over all hosts.
+    /// Bounds on retries, over all hosts.
     pub retries: RetryBounds,
-    /// How long after one holder's last order no other may give one.
+    /// Lease of the host that gives stage orders: until this long after its last order, no other host
+    /// may give one.
     pub lease: Duration,
-    /// How long after it was taken away a caller's key may still be served; `None` for no bound.
+    /// How long a caller's key may still be accepted after its revocation; `None` for no bound.
     pub max_revocation_delay: Option<Duration>,
-    /// How limits of organisations are measured, over all hosts.
+    /// How the limits of organisations are measured, over all hosts.
     pub limits: LimitBounds,
 }
 
-/// Settings of one daemon on the users' platform.
+/// Settings of a daemon that serves the routes of the users' platform.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GatewaySettings {
     /// Name of this entry host.
     pub host: String,
-    /// Its failure domain.
+    /// Failure domain of this host.
     pub domain: String,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub callers_listen: SocketAddr,
-    /// Where the platform asks whether this host takes callers.
+    /// Address of the platform's readiness probe.
     pub ready_listen: SocketAddr,
-    /// Where the other daemons connect (TCP) and probe (UDP).
+    /// Address on which the other daemons connect (TCP) and probe (UDP).
     pub peers_listen: SocketAddr,
-    /// Where they reach this host, if not at `peers_listen`, as behind a port mapping.
+    /// Address that the other daemons use for this host if it differs from `peers_listen`, for example
+    /// behind a port mapping.
     pub peers_advertise: Option<SocketAddr>,
-    /// Where metrics are served.
+    /// Address on which metrics are served.
     pub metrics_listen: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Where other daemons are reached, to begin with; they may be stale.
+    /// Addresses of other daemons to contact at the start; some may be stale.
     pub seeds: Vec<SocketAddr>,
-    /// Proves daemons to each other.
+    /// Key with which daemons authenticate each other.
     pub shared_key: String,
     /// Bounds that may change while the daemon runs.
     pub bounds: GatewayBounds,
@@ -60,24 +62,24 @@
 }
 
 fn read_gateway(reader: &mut FieldReader<'_, '_>) -> GatewaySettings {
-    let address = "an IP address with port";
+    let address_format = "an IP address with port";
     let settings = GatewaySettings {
         host: reader.string("host"),
         domain: reader.string("domain"),
-        callers_listen: reader.parsed("callers_listen", address, NOWHERE),
-        ready_listen: reader.parsed("ready_listen", address, NOWHERE),
-        peers_listen: reader.parsed("peers_listen", address, NOWHERE),
-        peers_advertise: reader.optional_parsed("peers_advertise", address),
-        metrics_listen: reader.parsed("metrics_listen", address, NOWHERE),
-        store: reader.parsed("store", address, NOWHERE),
+        callers_listen: reader.parsed("callers_listen", address_format, PLACEHOLDER_ADDRESS),
+        ready_listen: reader.parsed("ready_listen", address_format, PLACEHOLDER_ADDRESS),
+        peers_listen: reader.parsed("peers_listen", address_format, PLACEHOLDER_ADDRESS),
+        peers_advertise: reader.optional_parsed("peers_advertise", address_format),
+        metrics_listen: reader.parsed("metrics_listen", address_format, PLACEHOLDER_ADDRESS),
+        store: reader.parsed("store", address_format, PLACEHOLDER_ADDRESS),
         seeds: reader.parsed_list("seeds", "IP addresses with port"),
         shared_key: reader.string("shared_key"),
         bounds: read_bounds(reader),
-        log_level: read_level(reader),
+        log_level: read_log_level(reader),
     };
-    if !settings.shared_key.is_empty() && settings.shared_key.len() < SHORTEST_KEY {
-        let message = format!("shared_key must have at least {SHORTEST_KEY} characters");
-        reader.find("shared_key", message);
+    if !settings.shared_key.is_empty() && settings.shared_key.len() < MIN_KEY_LENGTH {
+        let message = format!("shared_key must have at least {MIN_KEY_LENGTH} characters");
+        reader.report("shared_key", message);
     }
     check_ports(reader, &settings);
     settings
@@ -107,7 +109,7 @@
 }
 
 impl GatewaySettings {
-    /// Names of the keys that differ from `newer` and need a restart.
+    /// Returns the keys whose values differ in `newer` and take effect only after a restart.
     pub fn changes_needing_restart(&self, newer: &Self) -> Vec<&'static str> {
         let changed = [
             ("host", self.host != newer.host),
@@ -131,10 +133,10 @@
         ("peers_listen", settings.peers_listen),
         ("metrics_listen", settings.metrics_listen),
     ];
-    for (place, (name, address)) in listeners.iter().enumerate() {
-        let same = listeners[..place].iter().find(|(_, other)| other == address);
+    for (index, (name, address)) in listeners.iter().enumerate() {
+        let same = listeners[..index].iter().find(|(_, other)| other == address);
         if let Some((other, _)) = same.filter(|_| address.port() != 0) {
-            reader.find(name, format!("{name} must differ from {other}"));
+            reader.report(name, format!("{name} must differ from {other}"));
         }
     }
 }
--- a/src/settings/host_settings.rs
+++ b/src/settings/host_settings.rs
@@ -5,35 +5,37 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-pub(super) const NOWHERE: SocketAddr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0));
-pub(super) const SHORTEST_KEY: usize = 16;
+/// Placeholder for an address that is missing or invalid; the finding about it makes the read fail.
+pub(super) const PLACEHOLDER_ADDRESS: SocketAddr =
+    SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0));
+pub(super) const MIN_KEY_LENGTH: usize = 16;
 
-/// Settings of one daemon.
+/// Settings of a daemon that serves the project's own interface.
 #[derive(Debug, Clone)]
 pub struct HostSettings {
     /// Name of this entry host.
     pub host: String,
-    /// Its failure domain.
+    /// Failure domain of this host.
     pub domain: String,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub callers_listen: SocketAddr,
-    /// Where the other daemons connect (TCP) and probe (UDP).
+    /// Address on which the other daemons connect (TCP) and probe (UDP).
     pub peers_listen: SocketAddr,
-    /// Where operators connect.
+    /// Address on which operators connect.
     pub operators_listen: SocketAddr,
-    /// The platform's object API.
+    /// Address of the platform's object API.
     pub platform: SocketAddr,
-    /// Other daemons' `peers_listen`, to begin with.
+    /// `peers_listen` addresses of other daemons to contact at the start.
     pub seeds: Vec<SocketAddr>,
-    /// Proves daemons to each other.
+    /// Key with which daemons authenticate each other.
     pub shared_key: String,
-    /// Proves operators.
+    /// Key with which operators authenticate.
     pub operator_key: String,
-    /// How requests are placed.
+    /// Policy that assigns requests to servers.
     pub policy: PlacementPolicy,
-    /// Largest body that a caller may send.
+    /// Largest request body that a caller may send.
     pub body_limit_bytes: usize,
-    /// How long a planned stop waits for streams.
+    /// How long a planned stop waits for running streams.
     pub drain_limit: Duration,
     /// `error`, `warn`, `info` or `debug`.
     pub log_level: log::LevelFilter,
@@ -48,14 +50,14 @@
 }
 
 fn read_host(reader: &mut FieldReader<'_, '_>) -> HostSettings {
-    let address = "an IP address with port";
+    let address_format = "an IP address with port";
     let settings = HostSettings {
         host: reader.string("host"),
         domain: reader.string("domain"),
-        callers_listen: reader.parsed("callers_listen", address, NOWHERE),
-        peers_listen: reader.parsed("peers_listen", address, NOWHERE),
-        operators_listen: reader.parsed("operators_listen", address, NOWHERE),
-        platform: reader.parsed("platform", address, NOWHERE),
+        callers_listen: reader.parsed("callers_listen", address_format, PLACEHOLDER_ADDRESS),
+        peers_listen: reader.parsed("peers_listen", address_format, PLACEHOLDER_ADDRESS),
+        operators_listen: reader.parsed("operators_listen", address_format, PLACEHOLDER_ADDRESS),
+        platform: reader.parsed("platform", address_format, PLACEHOLDER_ADDRESS),
         seeds: reader.parsed_list("seeds", "IP addresses with port"),
         shared_key: reader.string("shared_key"),
         operator_key: reader.string("operator_key"),
@@ -67,7 +69,7 @@
             0..=600_000,
             Some(30_000),
         )),
-        log_level: read_level(reader),
+        log_level: read_log_level(reader),
     };
     check_keys(reader, &settings);
     check_ports(reader, &settings);
@@ -80,17 +82,17 @@
     };
     text.parse().unwrap_or_else(|_error: String| {
         let names: Vec<&str> = PlacementPolicy::ALL.iter().map(|policy| policy.name()).collect();
-        reader.find("policy", format!("policy must be one of {}", names.join(", ")));
+        reader.report("policy", format!("policy must be one of {}", names.join(", ")));
         PlacementPolicy::default()
     })
 }
 
-pub(super) fn read_level(reader: &mut FieldReader<'_, '_>) -> log::LevelFilter {
+pub(super) fn read_log_level(reader: &mut FieldReader<'_, '_>) -> log::LevelFilter {
     let Some(text) = reader.optional_string("log_level") else {
         return log::LevelFilter::Info;
     };
     text.parse().unwrap_or_else(|_error| {
-        reader.find("log_level", "log_level must be error, warn, info or debug".to_owned());
+        reader.report("log_level", "log_level must be error, warn, info or debug".to_owned());
         log::LevelFilter::Info
     })
 }
@@ -99,24 +101,24 @@
     for (name, key) in
         [("shared_key", &settings.shared_key), ("operator_key", &settings.operator_key)]
     {
-        if !key.is_empty() && key.len() < SHORTEST_KEY {
-            reader.find(name, format!("{name} must have at least {SHORTEST_KEY} characters"));
+        if !key.is_empty() && key.len() < MIN_KEY_LENGTH {
+            reader.report(name, format!("{name} must have at least {MIN_KEY_LENGTH} characters"));
         }
     }
     if !settings.shared_key.is_empty() && settings.shared_key == settings.operator_key {
-        reader.find("operator_key", "operator_key must differ from shared_key".to_owned());
+        reader.report("operator_key", "operator_key must differ from shared_key".to_owned());
     }
 }
 
 fn check_ports(reader: &mut FieldReader<'_, '_>, settings: &HostSettings) {
-    let fixed = |address: SocketAddr| address.port() != 0;
-    if fixed(settings.operators_listen) && settings.operators_listen == settings.callers_listen {
-        reader.find(
+    let has_port = |address: SocketAddr| address.port() != 0;
+    if has_port(settings.operators_listen) && settings.operators_listen == settings.callers_listen {
+        reader.report(
             "operators_listen",
             "operators_listen must differ from callers_listen".to_owned(),
         );
     }
-    if fixed(settings.peers_listen) && settings.peers_listen == settings.callers_listen {
-        reader.find("peers_listen", "peers_listen must differ from callers_listen".to_owned());
+    if has_port(settings.peers_listen) && settings.peers_listen == settings.callers_listen {
+        reader.report("peers_listen", "peers_listen must differ from callers_listen".to_owned());
     }
 }
--- a/src/settings/intent_reader.rs
+++ b/src/settings/intent_reader.rs
@@ -6,7 +6,8 @@
 use crate::{Error, Result};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
-const NOWHERE: SocketAddr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0));
+/// Placeholder for an address that is missing or invalid; the finding about it makes the read fail.
+const PLACEHOLDER_ADDRESS: SocketAddr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0));
 
 impl TryFrom<&SourceText> for IntentSpec {
     type Error = Error;
@@ -41,7 +42,7 @@
     ServerSpec {
         name: reader.string("name"),
         domain: reader.string("domain"),
-        address: reader.parsed("address", "an IP address with port", NOWHERE),
+        address: reader.parsed("address", "an IP address with port", PLACEHOLDER_ADDRESS),
         role: reader.parsed("role", "\"prefill\" or \"decode\"", ServerRole::Prefill),
         models: reader.strings("models"),
         slots: reader.number("slots", 1..=100_000, Some(20)) as u32,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,5 @@
-//! Settings turn JSON with comments into checked types, and report all findings with their place.
+//! Reads settings files and intents, which are JSON with comments, into validated types and reports all
+//! findings with their locations.
 
 mod field_reader;
 mod finding;
--- a/src/settings/settings_findings.rs
+++ b/src/settings/settings_findings.rs
@@ -1,23 +1,23 @@
 use super::{Finding, SourceText};
 use miette::{Diagnostic, LabeledSpan, SourceCode};
 
-/// All findings about one text.
+/// All findings about one settings file or intent.
 #[derive(Debug, Clone)]
 pub struct SettingsFindings {
-    /// The text.
+    /// The text that was read.
     pub source: SourceText,
-    /// What is wrong with it, in the order of the text.
+    /// The findings, in the order of the text.
     pub findings: Vec<Finding>,
 }
 
 impl SettingsFindings {
-    /// One line a finding: `file:line:column: message`.
+    /// Formats each finding as one line: `file:line:column: message`.
     pub fn lines(&self) -> Vec<String> {
-        let line_of = |finding: &Finding| {
-            let (line, column) = self.source.place(finding.offset);
+        let format_line = |finding: &Finding| {
+            let (line, column) = self.source.line_and_column(finding.offset);
             format!("{}:{line}:{column}: {}", self.source.name, finding.message)
         };
-        self.findings.iter().map(line_of).collect()
+        self.findings.iter().map(format_line).collect()
     }
 }
 
--- a/src/settings/source_text.rs
+++ b/src/settings/source_text.rs
@@ -2,12 +2,12 @@
 use crate::intents::IntentSpec;
 use crate::{Error, Result};
 
-/// A text with the name of the file that it came from.
+/// The contents of a file, with its name.
 #[derive(Debug, Clone)]
 pub struct SourceText {
-    /// File name, for messages.
+    /// File name, used in messages.
     pub name: String,
-    /// Contents.
+    /// Contents of the file.
     pub text: String,
 }
 
@@ -15,35 +15,35 @@
     /// Reads a file.
     ///
     /// # Errors
-    /// If the file cannot be read.
+    /// Fails if the file cannot be read.
     pub fn read(path: &std::path::Path) -> Result<Self> {
-        let named = |error: std::io::Error| {
+        let add_path = |error: std::io::Error| {
             Error::Io(std::io::Error::new(error.kind(), format!("{}: {error}", path.display())))
         };
-        let text = std::fs::read_to_string(path).map_err(named)?;
+        let text = std::fs::read_to_string(path).map_err(add_path)?;
         Ok(Self { name: path.display().to_string(), text })
     }
 
-    /// Line and column of a byte offset, both from 1.
-    pub fn place(&self, offset: usize) -> (usize, usize) {
+    /// Converts a byte offset to a line and a column, both starting at 1.
+    pub fn line_and_column(&self, offset: usize) -> (usize, usize) {
         let before = self.text.get(..offset).unwrap_or(&self.text);
         let line = before.matches('\n').count() + 1;
         let column = before.rsplit('\n').next().map_or(0, |last| last.chars().count()) + 1;
         (line, column)
     }
 
-    /// Findings about this text, as one error.
+    /// Combines findings about this text into one error.
     pub fn error(&self, findings: Vec<Finding>) -> Error {
         Error::Settings(SettingsFindings { source: self.clone(), findings })
     }
 }
 
-/// Settings of a daemon, of either kind.
+/// Settings of a daemon of either kind.
 #[derive(Debug, Clone)]
 pub enum DaemonSettings {
-    /// It serves the project's own interface.
+    /// The daemon serves the project's own interface.
     Host(Box<HostSettings>),
-    /// It serves the routes of the users' platform.
+    /// The daemon serves the routes of the users' platform.
     Gateway(Box<GatewaySettings>),
 }
 
@@ -51,19 +51,20 @@
     type Error = Error;
 
     fn try_from(source: &SourceText) -> Result<Self> {
-        if states_kind(source, "gateway") {
-            return GatewaySettings::try_from(source).map(|read| Self::Gateway(Box::new(read)));
+        if has_kind(source, "gateway") {
+            return GatewaySettings::try_from(source)
+                .map(|settings| Self::Gateway(Box::new(settings)));
         }
-        HostSettings::try_from(source).map(|read| Self::Host(Box::new(read)))
+        HostSettings::try_from(source).map(|settings| Self::Host(Box::new(settings)))
     }
 }
 
-/// Checks a settings file or an intent, whichever its `kind` says, and names what it is.
+/// Checks a settings file or an intent, depending on its `kind`, and returns the name of that kind.
 ///
 /// # Errors
-/// All findings together.
+/// Returns all findings in one error.
 pub fn check_text(source: &SourceText) -> Result<&'static str> {
-    if states_kind(source, "intent") {
+    if has_kind(source, "intent") {
         return IntentSpec::try_from(source).map(|_| "intent");
     }
     DaemonSettings::try_from(source).map(|settings| match settings {
@@ -72,7 +73,7 @@
     })
 }
 
-fn states_kind(source: &SourceText, kind: &str) -> bool {
-    let stripped: String = source.text.chars().filter(|c| !c.is_whitespace()).collect();
-    stripped.contains(&format!("\"kind\":\"{kind}\""))
+fn has_kind(source: &SourceText, kind: &str) -> bool {
+    let compact: String = source.text.chars().filter(|c| !c.is_whitespace()).collect();
+    compact.contains(&format!("\"kind\":\"{kind}\""))
 }
--- a/src/telemetry/bounded_writer.rs
+++ b/src/telemetry/bounded_writer.rs
@@ -2,67 +2,67 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::time::Instant;
 
-/// Lines that wait for a slow reader; at about 200 bytes a line a few hundred kilobytes.
-const WAITING_LINES: usize = 2000;
-/// Lines a second in the long run; a busy host writes about fifty.
+/// Most lines queued for a slow reader; at about 200 bytes a line, a few hundred kilobytes.
+const MAX_QUEUED_LINES: usize = 2000;
+/// Sustained rate; a busy host writes about fifty lines a second.
 const LINES_PER_SECOND: f64 = 300.0;
-/// Lines in a burst.
+/// Capacity of the token bucket, in lines.
 const BURST_LINES: f64 = 1500.0;
 
-/// Hands whole lines to a thread that writes them to standard output.
+/// Passes complete lines to a thread that writes them to standard output.
 ///
-/// Lines beyond the bounds are dropped and counted; the next line that fits is preceded by the
-/// count.
+/// Lines beyond the rate or the queue length are dropped and counted. A line with that count precedes
+/// the next line that is accepted.
 #[derive(Debug)]
 pub(super) struct BoundedWriter {
-    lines: SyncSender<Vec<u8>>,
+    queue: SyncSender<Vec<u8>>,
     line: Vec<u8>,
-    budget: LineBudget,
+    bucket: LineBucket,
     dropped: u64,
 }
 
-/// A token bucket of lines.
+/// A token bucket that limits the rate of lines.
 #[derive(Debug)]
-struct LineBudget {
-    lines: f64,
-    filled_at: Instant,
+struct LineBucket {
+    tokens: f64,
+    refilled_at: Instant,
 }
 
-impl LineBudget {
-    fn take(&mut self, now: Instant) -> bool {
-        let earned = now.duration_since(self.filled_at).as_secs_f64() * LINES_PER_SECOND;
-        self.lines = (self.lines + earned).min(BURST_LINES);
-        self.filled_at = now;
-        let allowed = self.lines >= 1.0;
+impl LineBucket {
+    fn try_take(&mut self, now: Instant) -> bool {
+        let refill = now.duration_since(self.refilled_at).as_secs_f64() * LINES_PER_SECOND;
+        self.tokens = (self.tokens + refill).min(BURST_LINES);
+        self.refilled_at = now;
+        let allowed = self.tokens >= 1.0;
         if allowed {
-            self.lines -= 1.0;
+            self.tokens -= 1.0;
         }
         allowed
     }
 }
 
 impl BoundedWriter {
-    /// Starts the thread that writes.
+    /// Starts the writer thread.
     pub fn start() -> Self {
-        let (lines, waiting) = sync_channel(WAITING_LINES);
-        std::thread::spawn(move || write_lines(&waiting));
-        let budget = LineBudget { lines: BURST_LINES, filled_at: Instant::now() };
-        Self { lines, line: Vec::new(), budget, dropped: 0 }
+        let (queue, lines) = sync_channel(MAX_QUEUED_LINES);
+        std::thread::spawn(move || write_lines(&lines));
+        let bucket = LineBucket { tokens: BURST_LINES, refilled_at: Instant::now() };
+        Self { queue, line: Vec::new(), bucket, dropped: 0 }
     }
 
     fn end_line(&mut self) {
         let line = std::mem::take(&mut self.line);
-        if !self.budget.take(Instant::now()) {
+        if !self.bucket.try_take(Instant::now()) {
             self.dropped += 1;
             return;
         }
         if self.dropped > 0 {
-            let note = format!("level=warn event=log_lines_dropped count={}\n", self.dropped);
-            if self.lines.try_send(note.into_bytes()).is_ok() {
+            let notice = format!("level=warn event=log_lines_dropped count={}\n", self.dropped);
+            if self.queue.try_send(notice.into_bytes()).is_ok() {
                 self.dropped = 0;
             }
         }
-        if let Err(TrySendError::Full(_)) = self.lines.try_send(line) {
+        if let Err(TrySendError::Full(_)) = self.queue.try_send(line) {
             self.dropped += 1;
         }
     }
@@ -79,16 +79,16 @@
         Ok(buf.len())
     }
 
-    /// Loggers flush after each line; waiting here would block the daemon.
+    /// Does nothing: loggers flush after each line, and waiting here would block the daemon.
     fn flush(&mut self) -> std::io::Result<()> {
         Ok(())
     }
 }
 
-fn write_lines(waiting: &Receiver<Vec<u8>>) {
+fn write_lines(lines: &Receiver<Vec<u8>>) {
     let mut out = std::io::stdout();
-    while let Ok(line) = waiting.recv() {
-        // If nobody reads any more, there is nowhere left to say so.
+    while let Ok(line) = lines.recv() {
+        // A failure is ignored: if standard output is closed, it cannot be reported anywhere.
         drop(out.write_all(&line).and_then(|()| out.flush()));
     }
 }
--- a/src/telemetry/metric_registry.rs
+++ b/src/telemetry/metric_registry.rs
@@ -4,28 +4,29 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-const LONGEST_MICROS: u64 = 600_000_000;
+/// Longest duration that a histogram records, in microseconds; longer ones count as this long.
+const MAX_MICROS: u64 = 600_000_000;
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.95, 0.99];
-/// Series beyond this are counted under `other`, so that callers cannot fill the memory.
-const MOST_SERIES: usize = 2000;
+/// Durations of further series are recorded under `other`, so that callers cannot exhaust the memory.
+const MAX_SERIES: usize = 2000;
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestOutcome {
-    /// The whole answer was written.
+    /// The complete answer was written.
     Whole,
-    /// It did not run.
+    /// The request did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// The caller left.
+    /// The caller disconnected.
     Cancelled,
     /// The request was malformed.
     Invalid,
 }
 
 impl RequestOutcome {
-    /// The name used in metrics and logs.
+    /// Returns the name used in metrics and logs.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Whole => "whole",
@@ -44,60 +45,60 @@
     organisation: String,
 }
 
-/// Metrics of this host: time histograms and counters by class and organisation.
+/// Metrics of this host: duration histograms by class and organisation, request outcomes and counters.
 #[derive(Debug, Default)]
 pub struct MetricRegistry {
-    times: BTreeMap<SeriesKey, Histogram<u64>>,
+    durations: BTreeMap<SeriesKey, Histogram<u64>>,
     outcomes: BTreeMap<(RequestOutcome, String, String), u64>,
     counters: BTreeMap<&'static str, u64>,
-    /// Prefill work and its waste.
+    /// Prefill work that was done and that was wasted.
     pub waste: WasteLedger,
 }
 
 impl MetricRegistry {
-    /// Records a time, such as `first_token_seconds`.
+    /// Records a duration in the histogram of `metric`, such as `first_token_seconds`.
     pub fn record_duration(
         &mut self,
         metric: &'static str,
         class: &str,
         org: &str,
-        took: Duration,
+        duration: Duration,
     ) {
-        let full = self.times.len() >= MOST_SERIES;
+        let is_full = self.durations.len() >= MAX_SERIES;
         let mut key = SeriesKey { metric, class: class.to_owned(), organisation: org.to_owned() };
-        if full && !self.times.contains_key(&key) {
+        if is_full && !self.durations.contains_key(&key) {
             key.class = "other".to_owned();
             key.organisation = "other".to_owned();
         }
-        let histogram = self.times.entry(key).or_insert_with(new_histogram);
-        let micros = u64::try_from(took.as_micros()).unwrap_or(LONGEST_MICROS);
-        histogram.saturating_record(micros.clamp(1, LONGEST_MICROS));
+        let histogram = self.durations.entry(key).or_insert_with(new_histogram);
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(MAX_MICROS);
+        histogram.saturating_record(micros.clamp(1, MAX_MICROS));
     }
 
-    /// Counts the end of a request.
+    /// Counts a request that has ended.
     pub fn record_outcome(&mut self, outcome: RequestOutcome, class: &str, org: &str) {
         *self.outcomes.entry((outcome, class.to_owned(), org.to_owned())).or_default() += 1;
     }
 
-    /// Adds to a counter.
+    /// Adds `amount` to a counter.
     pub fn add(&mut self, counter: &'static str, amount: u64) {
         *self.counters.entry(counter).or_default() += amount;
     }
 
-    /// A counter's value.
+    /// Returns the value of a counter.
     pub fn counter(&self, counter: &str) -> u64 {
         self.counters.get(counter).copied().unwrap_or_default()
     }
 
-    /// All counters.
+    /// Returns all counters with their values.
     pub fn counters(&self) -> impl Iterator<Item = (&'static str, u64)> {
         self.counters.iter().map(|(name, value)| (*name, *value))
     }
 
-    /// All metrics in Prometheus text format.
+    /// Formats all metrics in the Prometheus text format.
     pub fn prometheus_text(&self) -> String {
         let mut text = String::new();
-        for (key, histogram) in &self.times {
+        for (key, histogram) in &self.durations {
             let labels = format!("class=\"{}\",organisation=\"{}\"", key.class, key.organisation);
             for quantile in QUANTILES {
                 let seconds = histogram.value_at_quantile(quantile) as f64 / 1e6;
@@ -137,8 +138,8 @@
 }
 
 fn new_histogram() -> Histogram<u64> {
-    // Two significant digits keep a series at a few kilobytes.
-    match Histogram::new_with_bounds(1, LONGEST_MICROS, 2) {
+    // With two significant digits a series takes a few kilobytes.
+    match Histogram::new_with_bounds(1, MAX_MICROS, 2) {
         Ok(histogram) => histogram,
         Err(error) => unreachable!("constant bounds are valid: {error}"),
     }
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! Telemetry: log lines, spans of each hop, and metrics.
+//! Log lines, metrics and the trace spans of each hop.
 
 mod bounded_writer;
 mod log_line;
--- a/src/telemetry/span_record.rs
+++ b/src/telemetry/span_record.rs
@@ -1,22 +1,22 @@
 use serde::{Deserialize, Serialize};
 
-/// One hop of one request.
+/// A span: one hop of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SpanRecord {
-    /// The trace that it belongs to.
+    /// Id of the trace that the span belongs to.
     pub trace: u128,
-    /// Its own id.
+    /// Id of this span.
     pub span: u64,
-    /// The span that caused it; zero for none.
+    /// Id of the parent span; zero if there is none.
     pub parent: u64,
-    /// The host that recorded it.
+    /// Host that recorded the span.
     pub host: String,
-    /// What was done.
+    /// Name of the operation.
     pub name: String,
-    /// When it began, in microseconds since 1970 by the host's clock.
+    /// Start time by the host's clock, in microseconds since 1970.
     pub start_micros: u64,
-    /// How long it took, in microseconds.
+    /// Duration, in microseconds.
     pub took_micros: u64,
-    /// Key=value pairs that explain the decision.
+    /// Key=value pairs that explain what was decided.
     pub detail: String,
 }
--- a/src/telemetry/trace_parent.rs
+++ b/src/telemetry/trace_parent.rs
@@ -1,21 +1,21 @@
 use serde::{Deserialize, Serialize};
 
-/// Where a span hangs in its trace, as the W3C `traceparent` header carries it.
+/// Ids of a trace and of the parent span in it, as carried by the W3C `traceparent` header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TraceParent {
-    /// The trace.
+    /// Id of the trace.
     pub trace: u128,
-    /// The calling span.
+    /// Id of the parent span; zero if there is none.
     pub span: u64,
 }
 
 impl TraceParent {
-    /// A new trace with random ids.
+    /// Starts a new trace with a random id and no parent span.
     pub fn new_trace() -> Self {
         Self { trace: rand::random::<u128>() | 1, span: 0 }
     }
 
-    /// The parent of spans that a new span causes.
+    /// Creates a new span in this trace and returns its ids, for use as the parent of further spans.
     pub fn child(self) -> Self {
         Self { trace: self.trace, span: rand::random::<u64>() | 1 }
     }
@@ -31,16 +31,16 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let wrong = || format!("{text:?} is not a traceparent");
+        let invalid = || format!("{text:?} is not a valid traceparent header value");
         let parts: Vec<&str> = text.split('-').collect();
         let [_, trace, span, _] = parts.as_slice() else {
-            return Err(wrong());
+            return Err(invalid());
         };
         if trace.len() != 32 || span.len() != 16 {
-            return Err(wrong());
+            return Err(invalid());
         }
-        let trace = u128::from_str_radix(trace, 16).map_err(|_error| wrong())?;
-        let span = u64::from_str_radix(span, 16).map_err(|_error| wrong())?;
-        if trace == 0 { Err(wrong()) } else { Ok(Self { trace, span }) }
+        let trace = u128::from_str_radix(trace, 16).map_err(|_error| invalid())?;
+        let span = u64::from_str_radix(span, 16).map_err(|_error| invalid())?;
+        if trace == 0 { Err(invalid()) } else { Ok(Self { trace, span }) }
     }
 }
--- a/tests/accounts.rs
+++ b/tests/accounts.rs
@@ -77,18 +77,18 @@
     "call_ended outcome=unknown cause=no_answer status=502 took_ms=60",
     failed("no_answer")
 )]
-fn call_outcome_read(#[case] text: &str, #[case] expected: CallOutcome) {
+fn call_outcome_from_record(#[case] text: &str, #[case] expected: CallOutcome) {
     let record = record(&format!("time=1.0 level=info host=a event={text}"));
-    assert_eq!(CallOutcome::read(&record), Some(expected));
+    assert_eq!(CallOutcome::from_record(&record), Some(expected));
 }
 
 fn account(lines: &[&str]) -> Vec<(u64, String, String, u64)> {
     let mut account = CallAccount::new(2);
     for line in lines {
-        account.note(&record(line));
+        account.add_record(&record(line));
     }
     let row = |row: tealcleat::accounts::AccountRow| {
-        (row.window, row.route, row.outcome.name(), row.requests)
+        (row.window_start, row.route, row.outcome.name(), row.requests)
     };
     account.rows().into_iter().map(row).collect()
 }
