--- a/src/bench/links/host_link.rs
+++ b/src/bench/links/host_link.rs
@@ -1,4 +1,4 @@
-use super::{CutMachines, CutScope, LinkProxy};
+use super::{LinkProxy, NetworkPartitions, PartitionScope};
 use crate::Result;
 use crate::host::lock;
 use std::collections::HashMap;
@@ -10,14 +10,14 @@
 const LONGEST_DATAGRAM: usize = 8 << 10;
 
 /// Cuts that part a link between hosts.
-const BETWEEN_HOSTS: [CutScope; 2] = [CutScope::All, CutScope::Hosts];
+const BETWEEN_HOSTS: [PartitionScope; 2] = [PartitionScope::All, PartitionScope::Hosts];
 
 /// Sockets of all links, by where the daemon behind each sends its datagrams from.
 #[derive(Debug, Clone, Default)]
 pub struct LinkSockets {
     sockets: Arc<Mutex<HashMap<SocketAddr, Arc<UdpSocket>>>>,
     /// Machines between which no link passes anything.
-    pub cuts: CutMachines,
+    pub partitions: NetworkPartitions,
 }
 
 /// The link before one daemon, at the address that it advertises.
@@ -38,7 +38,8 @@
         all: &LinkSockets,
     ) -> Result<Self> {
         let listener = TcpListener::bind(advertised).await?;
-        let connections = LinkProxy::listen(listener, target, all.cuts.clone(), &BETWEEN_HOSTS)?;
+        let connections =
+            LinkProxy::listen(listener, target, all.partitions.clone(), &BETWEEN_HOSTS)?;
         let socket = Arc::new(UdpSocket::bind(advertised).await?);
         lock(&all.sockets).insert(target, Arc::clone(&socket));
         tokio::spawn(relay(socket, target, all.clone()));
@@ -54,7 +55,7 @@
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
-        if all.cuts.parts([from.ip(), target.ip()], &BETWEEN_HOSTS) {
+        if all.partitions.parts([from.ip(), target.ip()], &BETWEEN_HOSTS) {
             continue;
         }
         let sender = lock(&all.sockets).get(&from).cloned();
--- a/src/bench/links/link_proxy.rs
+++ b/src/bench/links/link_proxy.rs
@@ -1,4 +1,4 @@
-use super::{CutMachines, CutScope};
+use super::{NetworkPartitions, PartitionScope};
 use crate::Result;
 use crate::host::lock;
 use std::net::{IpAddr, SocketAddr};
@@ -49,15 +49,15 @@
     /// # Errors
     /// If no port can be bound.
     pub async fn start(target: SocketAddr) -> Result<Self> {
-        Self::start_among(target, CutMachines::default()).await
+        Self::start_with(target, NetworkPartitions::default()).await
     }
 
     /// The same among machines of which some are cut off now and then.
     ///
     /// # Errors
     /// If no port can be bound.
-    pub async fn start_among(target: SocketAddr, cuts: CutMachines) -> Result<Self> {
-        Self::listen(TcpListener::bind(ANYWHERE).await?, target, cuts, &[CutScope::All])
+    pub async fn start_with(target: SocketAddr, cuts: NetworkPartitions) -> Result<Self> {
+        Self::listen(TcpListener::bind(ANYWHERE).await?, target, cuts, &[PartitionScope::All])
     }
 
     /// Takes the connections of a listener; cuts of `scopes` part them.
@@ -67,8 +67,8 @@
     pub fn listen(
         listener: TcpListener,
         target: SocketAddr,
-        cuts: CutMachines,
-        scopes: &'static [CutScope],
+        cuts: NetworkPartitions,
+        scopes: &'static [PartitionScope],
     ) -> Result<Self> {
         let address = listener.local_addr()?;
         let (mode, modes) = watch::channel(ProxyMode::Pass);
@@ -104,7 +104,7 @@
     }
 
     /// The connections that are open now pass nothing on any more, and never end; new ones work.
-    pub fn silence_open(&self) {
+    pub fn stall_open_connections(&self) {
         self.silences.send_modify(|count| *count += 1);
     }
 }
--- a/src/bench/links/cut_machines.rs
+++ b/src/bench/links/network_partitions.rs
@@ -4,7 +4,7 @@
 
 /// What a machine that is cut off no longer reaches, and is no longer reached by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum CutScope {
+pub enum PartitionScope {
     /// Anything.
     All,
     /// Other hosts; the store and the servers still.
@@ -15,21 +15,21 @@
 ///
 /// Whoever puts programs on machines gives each an address of its own, from which all of its connections come.
 #[derive(Debug, Clone)]
-pub struct CutMachines {
+pub struct NetworkPartitions {
     /// By how many cuts each of them is cut off.
-    cuts: watch::Sender<BTreeMap<(IpAddr, CutScope), usize>>,
+    cuts: watch::Sender<BTreeMap<(IpAddr, PartitionScope), usize>>,
 }
 
-impl Default for CutMachines {
+impl Default for NetworkPartitions {
     fn default() -> Self {
         Self { cuts: watch::Sender::new(BTreeMap::new()) }
     }
 }
 
-impl CutMachines {
+impl NetworkPartitions {
     /// Cuts machines off. Their open connections are dead from now on; a machine is back when each of its cuts has
     /// ended.
-    pub fn begin(&self, machines: &[IpAddr], scope: CutScope) {
+    pub fn begin(&self, machines: &[IpAddr], scope: PartitionScope) {
         self.cuts.send_modify(|cuts| {
             for machine in machines {
                 *cuts.entry((*machine, scope)).or_default() += 1;
@@ -38,7 +38,7 @@
     }
 
     /// Ends a cut.
-    pub fn end(&self, machines: &[IpAddr], scope: CutScope) {
+    pub fn end(&self, machines: &[IpAddr], scope: PartitionScope) {
         self.cuts.send_modify(|cuts| {
             for machine in machines {
                 if let Some(count) = cuts.get_mut(&(*machine, scope)) {
@@ -55,12 +55,12 @@
     }
 
     /// Whether nothing passes now on a link that cuts of these scopes part, between machines at its ends.
-    pub fn parts(&self, ends: [IpAddr; 2], scopes: &[CutScope]) -> bool {
+    pub fn parts(&self, ends: [IpAddr; 2], scopes: &[PartitionScope]) -> bool {
         is_parted(&self.cuts.borrow(), ends, scopes)
     }
 
     /// Waits until nothing passes there.
-    pub async fn parted(&self, ends: [IpAddr; 2], scopes: &[CutScope]) {
+    pub async fn parted(&self, ends: [IpAddr; 2], scopes: &[PartitionScope]) {
         let mut news = self.cuts.subscribe();
         // The sender of these news is this very value.
         if news.wait_for(|cuts| is_parted(cuts, ends, scopes)).await.is_err() {
@@ -70,9 +70,9 @@
 }
 
 fn is_parted(
-    cuts: &BTreeMap<(IpAddr, CutScope), usize>,
+    cuts: &BTreeMap<(IpAddr, PartitionScope), usize>,
     ends: [IpAddr; 2],
-    scopes: &[CutScope],
+    scopes: &[PartitionScope],
 ) -> bool {
     ends.iter().any(|end| scopes.iter().any(|scope| cuts.contains_key(&(*end, *scope))))
 }
--- a/src/bench/site/duplicate_link.rs
+++ b/src/bench/site/duplicate_link.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DuplicatePlan {
     /// Answers to requests whose head holds this text, in lower case.
-    pub request_has: &'static str,
+    pub request_contains: &'static str,
     /// How many of them.
     pub times: u32,
 }
@@ -37,7 +37,7 @@
     pub async fn start(target: SocketAddr) -> Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let plan = Arc::new(Mutex::new(DuplicatePlan { request_has: "", times: 0 }));
+        let plan = Arc::new(Mutex::new(DuplicatePlan { request_contains: "", times: 0 }));
         let link = Self { address, plan, connections: Arc::default() };
         let serving = link.clone();
         tokio::spawn(async move {
@@ -57,7 +57,7 @@
     }
 
     /// Answers that are still to be given twice.
-    pub fn left(&self) -> u32 {
+    pub fn remaining(&self) -> u32 {
         lock(&self.plan).times
     }
 
@@ -93,7 +93,7 @@
     fn is_doubled(&self, request: &[u8]) -> bool {
         let mut plan = lock(&self.plan);
         let text = String::from_utf8_lossy(request).to_ascii_lowercase();
-        let doubled = plan.times > 0 && text.contains(plan.request_has);
+        let doubled = plan.times > 0 && text.contains(plan.request_contains);
         if doubled {
             plan.times -= 1;
         }
--- a/src/bench/site/engine_orders.rs
+++ b/src/bench/site/engine_orders.rs
@@ -10,7 +10,7 @@
 impl SiteEngine {
     pub(super) fn report(&self) -> SiteAnswer {
         self.reports.fetch_add(1, Ordering::Relaxed);
-        let report = lock(&self.memory).report(&self.stage(), self.born());
+        let report = lock(&self.memory).report(&self.stage(), self.started_at());
         Ok(whole(200, report.to_string()))
     }
 
--- a/src/bench/site/life_switch.rs
+++ b/src/bench/site/incarnation_switch.rs
@@ -5,7 +5,7 @@
 
 /// Where a stand-in server listens after a restart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RestartPlace {
+pub enum RestartAddress {
     /// Where it did before.
     Same,
     /// On another free port; the former one is closed.
@@ -14,7 +14,7 @@
 
 /// One life of a stand-in server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub(in crate::bench) struct StandinLife {
+pub(in crate::bench) struct StandinIncarnation {
     /// Unix millisecond of its start; a stand-in says none until it is restarted.
     pub born: Option<u64>,
     pub address: Option<SocketAddr>,
@@ -24,14 +24,14 @@
 
 /// The present life of a stand-in server; connections end with the life that accepted them.
 #[derive(Debug, Clone, Default)]
-pub(in crate::bench) struct LifeSwitch {
-    life: watch::Sender<StandinLife>,
+pub(in crate::bench) struct IncarnationSwitch {
+    life: watch::Sender<StandinIncarnation>,
     crashes: Arc<Mutex<Vec<String>>>,
 }
 
-impl LifeSwitch {
+impl IncarnationSwitch {
     /// The present life.
-    pub fn now(&self) -> StandinLife {
+    pub fn current(&self) -> StandinIncarnation {
         *self.life.borrow()
     }
 
@@ -65,7 +65,7 @@
     }
 
     /// Waits until the server has started again after a crash.
-    pub async fn up(&self) {
+    pub async fn restarted(&self) {
         // As below.
         drop(self.life.subscribe().wait_for(|life| !life.is_down).await);
     }
@@ -77,7 +77,7 @@
     }
 
     /// Waits until `life` is over.
-    pub async fn ended(&self, life: StandinLife) {
+    pub async fn ended(&self, life: StandinIncarnation) {
         // The sender lives as long as this switch: the wait ends only with the life.
         drop(self.life.subscribe().wait_for(|now| *now != life).await);
     }
@@ -85,7 +85,7 @@
     /// Waits until the server no longer listens at `address`.
     pub async fn left(&self, address: SocketAddr) {
         // As above.
-        let elsewhere = |now: &StandinLife| now.is_down || now.address != Some(address);
+        let elsewhere = |now: &StandinIncarnation| now.is_down || now.address != Some(address);
         drop(self.life.subscribe().wait_for(elsewhere).await);
     }
 }
--- a/src/bench/site/site_arrivals.rs
+++ b/src/bench/site/site_arrivals.rs
@@ -14,19 +14,19 @@
 
 /// What a stand-in server says of its limit.
 #[derive(Debug, Clone, Default)]
-pub struct LimitSpeech {
+pub struct LimitAnnouncement {
     /// The limit that it means, in requests a second.
     pub limit: Option<f64>,
     /// What stands in its answers, a header each.
     pub values: Vec<String>,
     /// One of so many answers says nothing; none of them, if this is zero.
-    pub silent_each: usize,
+    pub omit_every: usize,
 }
 
-impl LimitSpeech {
+impl LimitAnnouncement {
     /// Names `limit` in each answer.
     pub fn of(limit: f64) -> Self {
-        Self { limit: Some(limit), values: vec![limit.to_string()], silent_each: 0 }
+        Self { limit: Some(limit), values: vec![limit.to_string()], omit_every: 0 }
     }
 }
 
@@ -34,14 +34,14 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitExcess {
     /// Requests that arrived.
-    pub got: usize,
+    pub arrived: usize,
     /// Requests that were allowed.
     pub allowed: f64,
 }
 
 #[derive(Debug, Default)]
 struct ArrivalBook {
-    speech: LimitSpeech,
+    speech: LimitAnnouncement,
     /// When answers began to name each limit, or none.
     named: Vec<(Instant, Option<f64>)>,
     arrivals: Vec<Instant>,
@@ -54,7 +54,7 @@
 
 impl SiteArrivals {
     /// Changes what the server says from now on.
-    pub fn set(&self, speech: LimitSpeech) {
+    pub fn set(&self, speech: LimitAnnouncement) {
         lock(&self.0).speech = speech;
     }
 
@@ -81,7 +81,7 @@
             book.named.push((Instant::now(), speech.limit));
         }
         book.answers += 1;
-        if speech.silent_each > 0 && book.answers.is_multiple_of(speech.silent_each) {
+        if speech.omit_every > 0 && book.answers.is_multiple_of(speech.omit_every) {
             return Ok(answer);
         }
         for value in &speech.values {
@@ -108,11 +108,11 @@
             let limit = book.limit_until(*end)?;
             let began = book.arrivals.partition_point(|at| *end - *at >= WINDOW);
             let allowed = limit.mul_add(TOLERANCE * WINDOW.as_secs_f64(), SLACK);
-            let got = place + 1 - began;
-            (got as f64 > allowed).then_some(LimitExcess { got, allowed })
+            let arrived = place + 1 - began;
+            (arrived as f64 > allowed).then_some(LimitExcess { arrived, allowed })
         });
         excesses.max_by(|one, other| {
-            (one.got as f64 - one.allowed).total_cmp(&(other.got as f64 - other.allowed))
+            (one.arrived as f64 - one.allowed).total_cmp(&(other.arrived as f64 - other.allowed))
         })
     }
 }
--- a/src/bench/site/site_zones.rs
+++ b/src/bench/site/site_domains.rs
@@ -4,16 +4,16 @@
 
 impl TestSite {
     /// Spreads the servers over failure domains.
-    pub fn spread(&mut self, zones: &'static [&'static str]) {
-        self.zones = zones;
+    pub fn spread_over_domains(&mut self, domains: &'static [&'static str]) {
+        self.domains = domains;
         for server in &self.servers {
-            self.state_server(&server.id, server.service, server.address, server.stage, "ready");
+            self.write_entry(&server.id, server.service, server.address, server.stage, "ready");
         }
     }
 
     /// The failure domain of a server; ids end with a number.
     pub(super) fn zone(&self, id: &str) -> &'static str {
         let place = id.rsplit('-').next().and_then(|number| number.parse::<usize>().ok());
-        self.zones[place.unwrap_or_default() % self.zones.len()]
+        self.domains[place.unwrap_or_default() % self.domains.len()]
     }
 }
--- a/src/bench/site/site_engine.rs
+++ b/src/bench/site/site_engine.rs
@@ -1,8 +1,8 @@
 use super::engine_fault::EngineFault;
 use super::engine_memory::EngineMemory;
 use super::event_feed::EventFeed;
-use super::life_switch::{LifeSwitch, RestartPlace};
-use super::site_arrivals::{LimitSpeech, SiteArrivals};
+use super::incarnation_switch::{IncarnationSwitch, RestartAddress};
+use super::site_arrivals::{LimitAnnouncement, SiteArrivals};
 use super::site_http::{
     BrokenOff, SiteAnswer, SiteHandler, WholeRequest, crash_server, header, is_crashing, refusal,
     restart_site, serve_site, signed, whole,
@@ -24,7 +24,7 @@
 pub struct SiteEngine {
     /// Its id, the same in all of its lives.
     pub id: String,
-    lives: LifeSwitch,
+    lives: IncarnationSwitch,
     /// What arrives, and what it says of its limit; a new life of it says nothing.
     pub arrivals: SiteArrivals,
     pub(super) stage: Mutex<String>,
@@ -34,7 +34,7 @@
     pub(super) runs: Mutex<Vec<SiteRun>>,
     pub(super) memory: Mutex<EngineMemory>,
     serials: AtomicU64,
-    turned_away: AtomicU64,
+    rejected_count: AtomicU64,
     pub(super) reports: AtomicU64,
     /// Prefill engines of the site, by address, from which results are fetched.
     sources: Mutex<HashMap<String, Arc<SiteEngine>>>,
@@ -45,7 +45,7 @@
     pub fn new(id: &str, stage: &str, events: u64, pause: Duration) -> Self {
         Self {
             id: id.to_owned(),
-            lives: LifeSwitch::default(),
+            lives: IncarnationSwitch::default(),
             arrivals: SiteArrivals::default(),
             stage: Mutex::new(stage.to_owned()),
             events,
@@ -54,7 +54,7 @@
             runs: Mutex::default(),
             memory: Mutex::default(),
             serials: AtomicU64::new(1),
-            turned_away: AtomicU64::new(0),
+            rejected_count: AtomicU64::new(0),
             reports: AtomicU64::new(0),
             sources: Mutex::default(),
         }
@@ -73,20 +73,20 @@
     ///
     /// # Errors
     /// If no port can be bound.
-    pub async fn restart(self: &Arc<Self>, born: u64, place: RestartPlace) -> Result<SocketAddr> {
+    pub async fn restart(self: &Arc<Self>, born: u64, place: RestartAddress) -> Result<SocketAddr> {
         let address = restart_site(self, born, place).await?;
         lock(&self.memory).restart();
         self.set_fault(EngineFault::None);
-        self.arrivals.set(LimitSpeech::default());
+        self.arrivals.set(LimitAnnouncement::default());
         Ok(address)
     }
 
     /// When its present life began, if it says so.
-    pub fn born(&self) -> Option<u64> {
-        self.lives.now().born
+    pub fn started_at(&self) -> Option<u64> {
+        self.lives.current().born
     }
 
-    pub(super) fn life_switch(&self) -> &LifeSwitch {
+    pub(super) fn incarnation_switch(&self) -> &IncarnationSwitch {
         &self.lives
     }
 
@@ -121,8 +121,8 @@
     }
 
     /// Reads and runs that it turned away while it changed its stage.
-    pub fn turned_away(&self) -> u64 {
-        self.turned_away.load(Ordering::Relaxed)
+    pub fn rejected_count(&self) -> u64 {
+        self.rejected_count.load(Ordering::Relaxed)
     }
 
     /// Times that it was asked for its report, over all of its lives.
@@ -210,7 +210,7 @@
 }
 
 impl SiteHandler for SiteEngine {
-    fn lives(&self) -> Option<&LifeSwitch> {
+    fn lives(&self) -> Option<&IncarnationSwitch> {
         Some(&self.lives)
     }
 
@@ -255,7 +255,7 @@
             return Ok(signed(whole(421, ""), &id, None));
         }
         if self.fault() == EngineFault::Changing {
-            self.turned_away.fetch_add(1, Ordering::Relaxed);
+            self.rejected_count.fetch_add(1, Ordering::Relaxed);
             return Ok(refusal(&id));
         }
         match asked {
--- a/src/bench/site/site_http.rs
+++ b/src/bench/site/site_http.rs
@@ -1,4 +1,4 @@
-use super::life_switch::{LifeSwitch, RestartPlace, StandinLife};
+use super::incarnation_switch::{IncarnationSwitch, RestartAddress, StandinIncarnation};
 use crate::{Error, Result};
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -42,7 +42,7 @@
 }
 
 /// Runs a crashing request: its connection and all others of the server break.
-pub(super) async fn crash_server(lives: &LifeSwitch, id: &str) -> SiteAnswer {
+pub(super) async fn crash_server(lives: &IncarnationSwitch, id: &str) -> SiteAnswer {
     tokio::time::sleep(CRASH_DELAY).await;
     lives.crash(id);
     Err(BrokenOff)
@@ -56,7 +56,7 @@
     fn answer(self: Arc<Self>, request: WholeRequest) -> impl Future<Output = SiteAnswer> + Send;
 
     /// Its lives, if it can be restarted.
-    fn lives(&self) -> Option<&LifeSwitch> {
+    fn lives(&self) -> Option<&IncarnationSwitch> {
         None
     }
 }
@@ -82,7 +82,7 @@
 }
 
 /// Listens where a crashed stand-in did. Another socket may use the port for a moment.
-pub(in crate::bench) async fn listen_again(address: SocketAddr) -> TcpListener {
+pub(in crate::bench) async fn rebind_listener(address: SocketAddr) -> TcpListener {
     loop {
         if let Ok(listener) = TcpListener::bind(address).await {
             return listener;
@@ -95,19 +95,19 @@
 pub(super) async fn restart_site<H: SiteHandler>(
     handler: &Arc<H>,
     born: u64,
-    place: RestartPlace,
+    place: RestartAddress,
 ) -> Result<SocketAddr> {
     let never = || Error::Refused("the stand-in has not been served".to_owned());
     let lives = handler.lives().ok_or_else(never)?;
-    let life = lives.now();
+    let life = lives.current();
     let former = life.address.ok_or_else(never)?;
     let listener = match place {
-        RestartPlace::Same if !life.is_down => {
+        RestartAddress::Same if !life.is_down => {
             lives.begin(born);
             return Ok(former);
         }
-        RestartPlace::Same => listen_again(former).await,
-        RestartPlace::Other => TcpListener::bind(ANYWHERE).await?,
+        RestartAddress::Same => rebind_listener(former).await,
+        RestartAddress::Other => TcpListener::bind(ANYWHERE).await?,
     };
     let address = listener.local_addr()?;
     lives.move_to(address);
@@ -118,7 +118,7 @@
 
 async fn accept_all<H: SiteHandler>(listener: &TcpListener, handler: &Arc<H>) {
     while let Ok((stream, _)) = listener.accept().await {
-        let life = handler.lives().map(LifeSwitch::now);
+        let life = handler.lives().map(IncarnationSwitch::current);
         tokio::spawn(serve_stream(Arc::clone(handler), stream, life));
     }
 }
@@ -126,7 +126,7 @@
 async fn serve_stream<H: SiteHandler>(
     handler: Arc<H>,
     stream: TcpStream,
-    life: Option<StandinLife>,
+    life: Option<StandinIncarnation>,
 ) {
     let answering = Arc::clone(&handler);
     let service = service_fn(move |request| answer(Arc::clone(&answering), request));
@@ -140,7 +140,7 @@
 }
 
 /// Waits until a life of a stand-in is over.
-async fn ended<H: SiteHandler>(handler: &H, life: Option<StandinLife>) {
+async fn ended<H: SiteHandler>(handler: &H, life: Option<StandinIncarnation>) {
     match (handler.lives(), life) {
         (Some(lives), Some(life)) => lives.ended(life).await,
         _ => std::future::pending().await,
--- a/src/bench/site/site_restart.rs
+++ b/src/bench/site/site_restart.rs
@@ -1,7 +1,7 @@
 //! Starts servers of a site again under the ids that they had.
 
-use super::life_switch::LifeSwitch;
-use super::{RestartPlace, SiteEngine, StatedServer, TestSite};
+use super::incarnation_switch::IncarnationSwitch;
+use super::{RestartAddress, SiteEngine, SiteServer, TestSite};
 use crate::{Error, Result};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,10 +18,10 @@
     ///
     /// # Errors
     /// If no port can be bound, or there is no such server.
-    pub async fn restart(&self, id: &str, place: RestartPlace) -> Result<u64> {
-        let (born, address) = self.begin_life(id, place).await?;
+    pub async fn restart(&self, id: &str, place: RestartAddress) -> Result<u64> {
+        let (born, address) = self.begin_incarnation(id, place).await?;
         self.add_source(id, address);
-        self.state_life(id, address)?;
+        self.write_incarnation_entry(id, address)?;
         Ok(born)
     }
 
@@ -30,7 +30,11 @@
     ///
     /// # Errors
     /// If no port can be bound, or there is no such server.
-    pub async fn begin_life(&self, id: &str, place: RestartPlace) -> Result<(u64, SocketAddr)> {
+    pub async fn begin_incarnation(
+        &self,
+        id: &str,
+        place: RestartAddress,
+    ) -> Result<(u64, SocketAddr)> {
         let born = FIRST_RESTART + self.restarts.fetch_add(1, Ordering::Relaxed) * RESTART_GAP;
         let address = if let Some(engine) = self.engine(id) {
             engine.restart(born, place).await?
@@ -46,37 +50,38 @@
     /// # Errors
     /// If there is no such server.
     pub async fn crashed(&self, id: &str) -> Result<()> {
-        self.life_switch(id)?.crashed().await;
+        self.incarnation_switch(id)?.crashed().await;
         Ok(())
     }
 
     /// Requests under which servers of this site crashed.
     pub fn crashes(&self) -> Vec<String> {
-        let switches = self.servers.iter().filter_map(|server| self.life_switch(&server.id).ok());
-        switches.flat_map(LifeSwitch::crashes).collect()
+        let switches =
+            self.servers.iter().filter_map(|server| self.incarnation_switch(&server.id).ok());
+        switches.flat_map(IncarnationSwitch::crashes).collect()
     }
 
     /// The lives of a server of this site.
-    pub(in crate::bench) fn life_switch(&self, id: &str) -> Result<&LifeSwitch> {
+    pub(in crate::bench) fn incarnation_switch(&self, id: &str) -> Result<&IncarnationSwitch> {
         if let Some(engine) = self.engine(id) {
-            return Ok(engine.life_switch());
+            return Ok(engine.incarnation_switch());
         }
         let service = self.services.iter().find(|service| service.id == id);
-        Ok(service.ok_or_else(|| unknown_server(id))?.life_switch())
+        Ok(service.ok_or_else(|| unknown_server(id))?.incarnation_switch())
     }
 
     /// Writes the entry of a server's present life, which is reached at `address`.
     ///
     /// # Errors
     /// If there is no such server.
-    pub fn state_life(&self, id: &str, address: SocketAddr) -> Result<()> {
+    pub fn write_incarnation_entry(&self, id: &str, address: SocketAddr) -> Result<()> {
         let service = self.server(id)?.service;
         let stage = self.engine(id).map(|engine| engine.stage());
-        self.state_server(id, service, address, stage.as_deref(), "ready");
+        self.write_entry(id, service, address, stage.as_deref(), "ready");
         Ok(())
     }
 
-    fn server(&self, id: &str) -> Result<&StatedServer> {
+    fn server(&self, id: &str) -> Result<&SiteServer> {
         let server = self.servers.iter().find(|server| server.id == id);
         server.ok_or_else(|| unknown_server(id))
     }
@@ -86,11 +91,11 @@
     }
 
     /// When the present life of a server began, if it says so.
-    pub(super) fn born(&self, id: &str) -> Option<u64> {
+    pub(super) fn started_at(&self, id: &str) -> Option<u64> {
         if let Some(engine) = self.engine(id) {
-            return engine.born();
+            return engine.started_at();
         }
-        self.services.iter().find(|service| service.id == id)?.born()
+        self.services.iter().find(|service| service.id == id)?.started_at()
     }
 
     /// Decode engines reach a prefill engine at `address`.
--- a/src/bench/site/site_run.rs
+++ b/src/bench/site/site_run.rs
@@ -18,7 +18,7 @@
     /// Its caller left before the end.
     pub cancelled: bool,
     /// On whose account it ran.
-    pub caller: SeenCaller,
+    pub caller: CallerRecord,
 }
 
 impl SiteRun {
@@ -32,14 +32,14 @@
             hold: header(request, "hold").map(str::to_owned),
             after: header(request, "last-event-id").and_then(|text| text.parse().ok()),
             cancelled: false,
-            caller: SeenCaller::of(request, id),
+            caller: CallerRecord::of(request, id),
         }
     }
 }
 
 /// What a backend server is told of the caller of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SeenCaller {
+pub struct CallerRecord {
     /// The request's id.
     pub request: String,
     /// The organisation that it runs for.
@@ -48,7 +48,7 @@
     pub has_key: bool,
 }
 
-impl SeenCaller {
+impl CallerRecord {
     pub(super) fn of(request: &WholeRequest, id: &str) -> Self {
         Self {
             request: id.to_owned(),
--- a/src/bench/site/site_service.rs
+++ b/src/bench/site/site_service.rs
@@ -1,10 +1,10 @@
-use super::life_switch::{LifeSwitch, RestartPlace};
-use super::site_arrivals::{LimitSpeech, SiteArrivals};
+use super::incarnation_switch::{IncarnationSwitch, RestartAddress};
+use super::site_arrivals::{LimitAnnouncement, SiteArrivals};
 use super::site_http::{
     BrokenOff, SiteAnswer, SiteHandler, WholeRequest, crash_server, header, is_crashing,
     restart_site, serve_site, signed, whole,
 };
-use super::site_run::SeenCaller;
+use super::site_run::CallerRecord;
 use crate::Result;
 use crate::host::lock;
 use std::net::SocketAddr;
@@ -38,11 +38,11 @@
 pub struct SiteService {
     /// Its id, the same in all of its lives.
     pub id: String,
-    lives: LifeSwitch,
+    lives: IncarnationSwitch,
     /// What arrives, and what it says of its limit; a new life of it says nothing.
     pub arrivals: SiteArrivals,
     fault: Mutex<ServiceFault>,
-    runs: Mutex<Vec<SeenCaller>>,
+    runs: Mutex<Vec<CallerRecord>>,
 }
 
 impl SiteService {
@@ -50,7 +50,7 @@
     pub fn new(id: &str) -> Self {
         Self {
             id: id.to_owned(),
-            lives: LifeSwitch::default(),
+            lives: IncarnationSwitch::default(),
             arrivals: SiteArrivals::default(),
             fault: Mutex::default(),
             runs: Mutex::default(),
@@ -69,19 +69,19 @@
     ///
     /// # Errors
     /// If no port can be bound.
-    pub async fn restart(self: &Arc<Self>, born: u64, place: RestartPlace) -> Result<SocketAddr> {
+    pub async fn restart(self: &Arc<Self>, born: u64, place: RestartAddress) -> Result<SocketAddr> {
         let address = restart_site(self, born, place).await?;
         self.set_fault(ServiceFault::None);
-        self.arrivals.set(LimitSpeech::default());
+        self.arrivals.set(LimitAnnouncement::default());
         Ok(address)
     }
 
     /// When its present life began, if it says so.
-    pub fn born(&self) -> Option<u64> {
-        self.lives.now().born
+    pub fn started_at(&self) -> Option<u64> {
+        self.lives.current().born
     }
 
-    pub(super) fn life_switch(&self) -> &LifeSwitch {
+    pub(super) fn incarnation_switch(&self) -> &IncarnationSwitch {
         &self.lives
     }
 
@@ -96,13 +96,13 @@
     }
 
     /// What it was told of their callers.
-    pub fn callers(&self) -> Vec<SeenCaller> {
+    pub fn callers(&self) -> Vec<CallerRecord> {
         lock(&self.runs).clone()
     }
 }
 
 impl SiteHandler for SiteService {
-    fn lives(&self) -> Option<&LifeSwitch> {
+    fn lives(&self) -> Option<&IncarnationSwitch> {
         Some(&self.lives)
     }
 
@@ -128,7 +128,7 @@
             answer.headers_mut().insert("x-not-run", http::HeaderValue::from_static("1"));
             return Ok(signed(answer, &id, None));
         }
-        lock(&self.runs).push(SeenCaller::of(&request, &id));
+        lock(&self.runs).push(CallerRecord::of(&request, &id));
         if is_crashing(&request) {
             return crash_server(&self.lives, &id).await;
         }
--- a/src/bench/site/site_store.rs
+++ b/src/bench/site/site_store.rs
@@ -65,7 +65,7 @@
     }
 
     /// Stale listings show the objects as they are now from here on.
-    pub fn hold_stale(&self) {
+    pub fn freeze_stale_lists(&self) {
         *lock(&self.stale) = Some(lock(&self.objects).clone());
     }
 
@@ -76,12 +76,12 @@
     }
 
     /// Calls so far, and how many of them were writes.
-    pub fn counts(&self) -> (u64, u64) {
+    pub fn call_counts(&self) -> (u64, u64) {
         (self.calls.load(Ordering::Relaxed), self.writes.load(Ordering::Relaxed))
     }
 
     /// Pages of listings so far.
-    pub fn lists(&self) -> u64 {
+    pub fn list_calls(&self) -> u64 {
         self.lists.load(Ordering::Relaxed)
     }
 
--- a/src/bench/site/test_site.rs
+++ b/src/bench/site/test_site.rs
@@ -41,7 +41,7 @@
 
 /// A backend server of a site, as its entry says.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StatedServer {
+pub struct SiteServer {
     /// Its id.
     pub id: String,
     /// Its service.
@@ -64,11 +64,11 @@
     /// Servers of the plain service.
     pub services: Vec<Arc<SiteService>>,
     /// All of them, as their entries say: prefill engines, decode engines, the plain service.
-    pub servers: Vec<StatedServer>,
+    pub servers: Vec<SiteServer>,
     /// Daemons.
     pub hosts: Vec<Gateway>,
     /// Failure domains over which the servers are spread.
-    pub zones: &'static [&'static str],
+    pub domains: &'static [&'static str],
     /// Where the store listens.
     pub store_address: SocketAddr,
     pub(super) restarts: AtomicU64,
@@ -89,7 +89,7 @@
             services: Vec::new(),
             servers: Vec::new(),
             hosts: Vec::new(),
-            zones: &["a"],
+            domains: &["a"],
             store_address,
             restarts: AtomicU64::new(0),
         };
@@ -139,12 +139,12 @@
         address: SocketAddr,
         stage: Option<&'static str>,
     ) {
-        self.state_server(&id, service, address, stage, "ready");
-        self.servers.push(StatedServer { id, service, address, stage });
+        self.write_entry(&id, service, address, stage, "ready");
+        self.servers.push(SiteServer { id, service, address, stage });
     }
 
     /// Writes a server's entry.
-    pub fn state_server(
+    pub fn write_entry(
         &self,
         id: &str,
         service: &str,
@@ -157,7 +157,7 @@
         if let Some(stage) = stage {
             entry["stage"] = json!(stage);
         }
-        if let Some(born) = self.born(id) {
+        if let Some(born) = self.started_at(id) {
             entry["born"] = json!(born);
         }
         self.store.change(|objects| objects.set("servers", id, entry));
@@ -176,7 +176,7 @@
                 decode.add_source(link.address, engine);
             }
         }
-        self.state_server(id, server.service, link.address, server.stage, "ready");
+        self.write_entry(id, server.service, link.address, server.stage, "ready");
         Ok(link)
     }
 
@@ -200,7 +200,7 @@
     ///
     /// # Errors
     /// If a port cannot be bound.
-    pub async fn add_lone_host(&mut self) -> Result<()> {
+    pub async fn add_isolated_host(&mut self) -> Result<()> {
         self.add_host_knowing(Vec::new()).await
     }
 
--- a/src/bench/soak/answer_link.rs
+++ b/src/bench/soak/answer_link.rs
@@ -4,7 +4,7 @@
 use super::soak_answer::{AnswerFault, without_length};
 use crate::Result;
 use crate::bench::links::{connect_as, reset};
-use crate::bench::site::{LifeSwitch, message_end};
+use crate::bench::site::{IncarnationSwitch, message_end};
 use bytes::{Bytes, BytesMut};
 use rand::Rng;
 use rand::rngs::StdRng;
@@ -44,13 +44,13 @@
     }
 
     /// Refuses connections while the server is down that has these lives.
-    pub fn follow(&self, lives: LifeSwitch) {
+    pub fn follow(&self, lives: IncarnationSwitch) {
         let is_open = self.is_open.clone();
         tokio::spawn(async move {
             loop {
                 lives.crashed().await;
                 is_open.send_replace(false);
-                lives.up().await;
+                lives.restarted().await;
                 is_open.send_replace(true);
             }
         });
--- a/src/bench/soak/link_listener.rs
+++ b/src/bench/soak/link_listener.rs
@@ -2,7 +2,7 @@
 
 use super::answer_link::carry;
 use super::soak_answer::AnswerFault;
-use crate::bench::site::listen_again;
+use crate::bench::site::rebind_listener;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
         let Some(accepted) = accepted else {
             drop(listener);
             turned(&mut opens, true).await;
-            listener = listen_again(address).await;
+            listener = rebind_listener(address).await;
             continue;
         };
         let Ok((near, _)) = accepted else { return };
--- a/src/bench/soak/soak_cut.rs
+++ b/src/bench/soak/soak_cut.rs
@@ -1,7 +1,7 @@
 //! Machines of a soak that are cut off from all others, from the store and from servers.
 
 use super::soak_run::SoakStage;
-use crate::bench::links::CutScope;
+use crate::bench::links::PartitionScope;
 use rand::Rng;
 use rand::rngs::StdRng;
 use std::net::{IpAddr, Ipv4Addr};
@@ -48,13 +48,13 @@
 
 impl SoakStage {
     /// Cuts the machines of a group off; their open connections are dead from now on.
-    pub fn begin_cut(&self, group: CutGroup, scope: CutScope) {
-        self.sockets.cuts.begin(&self.machines(group), scope);
+    pub fn begin_cut(&self, group: CutGroup, scope: PartitionScope) {
+        self.sockets.partitions.begin(&self.machines(group), scope);
     }
 
     /// Ends a cut: new connections and datagrams pass again.
-    pub fn end_cut(&self, group: CutGroup, scope: CutScope) {
-        self.sockets.cuts.end(&self.machines(group), scope);
+    pub fn end_cut(&self, group: CutGroup, scope: PartitionScope) {
+        self.sockets.partitions.end(&self.machines(group), scope);
     }
 
     fn machines(&self, group: CutGroup) -> Vec<IpAddr> {
--- a/src/bench/soak/soak_fault.rs
+++ b/src/bench/soak/soak_fault.rs
@@ -1,6 +1,6 @@
 use super::soak_answer::AnswerFault;
 use super::soak_cut::CutGroup;
-use crate::bench::links::{CutScope, ProxyMode};
+use crate::bench::links::{PartitionScope, ProxyMode};
 use crate::bench::site::{EngineFault, ServiceFault, StoreFault};
 use rand::Rng;
 use rand::rngs::StdRng;
@@ -21,7 +21,7 @@
     Stop(usize),
     Pause(usize),
     Suspend(usize),
-    Cut(CutGroup, CutScope),
+    Cut(CutGroup, PartitionScope),
     Reload(usize),
     Configure,
     DrainServer(usize),
--- a/src/bench/soak/soak_force.rs
+++ b/src/bench/soak/soak_force.rs
@@ -170,7 +170,7 @@
         let hosts = self.host_links.iter().map(|link| &link.connections);
         for link in hosts.chain(&self.store_links).chain(&self.links) {
             if random.random_bool(part) {
-                link.silence_open();
+                link.stall_open_connections();
             }
         }
     }
--- a/src/bench/soak/soak_inject.rs
+++ b/src/bench/soak/soak_inject.rs
@@ -5,8 +5,8 @@
 use super::soak_fault::{FaultPlaces, SoakFault, draw_fault};
 use super::soak_run::{SoakOptions, SoakStage};
 use crate::Result;
-use crate::bench::links::{CutScope, ProxyMode};
-use crate::bench::site::{EngineFault, RestartPlace, ServiceFault, SiteEngine, StoreFault};
+use crate::bench::links::{PartitionScope, ProxyMode};
+use crate::bench::site::{EngineFault, RestartAddress, ServiceFault, SiteEngine, StoreFault};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -108,8 +108,8 @@
     async fn restart_server(&mut self, place: usize) -> Result<()> {
         self.trace.note_restart(place)?;
         let id = &self.site.servers[place].id;
-        self.site.begin_life(id, RestartPlace::Same).await?;
-        self.site.state_life(id, self.answer_links[place].address)
+        self.site.begin_incarnation(id, RestartAddress::Same).await?;
+        self.site.write_incarnation_entry(id, self.answer_links[place].address)
     }
 
     /// Starts crashed servers again that have been down for their time, which is drawn as they are found;
@@ -146,7 +146,7 @@
     fn crashed_servers(&self) -> Result<Vec<usize>> {
         let mut down = Vec::new();
         for (server, place) in self.site.servers.iter().zip(0..) {
-            if self.site.life_switch(&server.id)?.is_down() {
+            if self.site.incarnation_switch(&server.id)?.is_down() {
                 down.push(place);
             }
         }
@@ -234,12 +234,12 @@
         let place = self.site.decodes.len() + self.site.prefills.len() + place;
         let server = &self.site.servers[place];
         let address = self.answer_links[place].address;
-        self.site.state_server(&server.id, server.service, address, server.stage, state);
+        self.site.write_entry(&server.id, server.service, address, server.stage, state);
     }
 }
 
 fn draw_cut(random: &mut StdRng, hosts: usize, domains: usize) -> SoakFault {
-    let scope = if random.random_bool(0.5) { CutScope::All } else { CutScope::Hosts };
+    let scope = if random.random_bool(0.5) { PartitionScope::All } else { PartitionScope::Hosts };
     SoakFault::Cut(CutGroup::draw(random, hosts, domains), scope)
 }
 
--- a/src/bench/soak/soak_limits.rs
+++ b/src/bench/soak/soak_limits.rs
@@ -3,7 +3,7 @@
 use super::soak_check::SoakBreach;
 use super::soak_run::SoakStage;
 use crate::Result;
-use crate::bench::site::{LimitExcess, LimitSpeech, SiteArrivals};
+use crate::bench::site::{LimitAnnouncement, LimitExcess, SiteArrivals};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
@@ -34,7 +34,7 @@
     /// No server names a limit any more.
     pub fn take_limits_back(&self) {
         for place in 0..self.links.len() {
-            self.arrivals(place).set(LimitSpeech::default());
+            self.arrivals(place).set(LimitAnnouncement::default());
         }
     }
 
@@ -58,7 +58,7 @@
         let first = random.random_range(0..servers);
         for place in (first..first + LIMITED).map(|place| place % servers) {
             let limit = LIMITS[random.random_range(0..LIMITS.len())];
-            self.arrivals(place).set(LimitSpeech::of(limit));
+            self.arrivals(place).set(LimitAnnouncement::of(limit));
         }
         self.keep_up(KNOWN_TIME).await?;
         self.disturb(&mut random).await?;
@@ -98,15 +98,18 @@
 }
 
 fn breach(id: &str, excess: LimitExcess) -> SoakBreach {
-    let LimitExcess { got, allowed } = excess;
-    let detail = format!("{id}: {got} requests in 4 s, {allowed:.1} allowed");
+    let LimitExcess { arrived, allowed } = excess;
+    let detail = format!("{id}: {arrived} requests in 4 s, {allowed:.1} allowed");
     SoakBreach { promise: "no server gets more than its limit allows", detail }
 }
 
-fn draw_speech(random: &mut StdRng) -> LimitSpeech {
+fn draw_speech(random: &mut StdRng) -> LimitAnnouncement {
     if random.random_bool(0.3) {
-        return LimitSpeech::default();
+        return LimitAnnouncement::default();
+    }
+    let omit_every = if random.random_bool(0.3) { SILENT_EACH } else { 0 };
+    LimitAnnouncement {
+        omit_every,
+        ..LimitAnnouncement::of(LIMITS[random.random_range(0..LIMITS.len())])
     }
-    let silent_each = if random.random_bool(0.3) { SILENT_EACH } else { 0 };
-    LimitSpeech { silent_each, ..LimitSpeech::of(LIMITS[random.random_range(0..LIMITS.len())]) }
 }
--- a/src/bench/soak/soak_run.rs
+++ b/src/bench/soak/soak_run.rs
@@ -114,7 +114,7 @@
     stage.restart_crashed().await?;
     let mut report = lock(&notes.report).clone();
     report.faults = faults;
-    report.store_calls = stage.site.store.counts().0;
+    report.store_calls = stage.site.store.call_counts().0;
     let calm = stage.check_calm(options.seed).await;
     let mut records = lock(&notes.records).clone();
     records.extend(calm.1);
@@ -142,11 +142,11 @@
         let mut links = Vec::new();
         let mut answer_links = Vec::new();
         for (server, place) in site.servers.iter().zip(0..) {
-            let link = LinkProxy::start_among(server.address, sockets.cuts.clone()).await?;
+            let link = LinkProxy::start_with(server.address, sockets.partitions.clone()).await?;
             let seed = options.seed.wrapping_mul(SERVER_SEEDS) + place;
             let answers = AnswerLink::start(link.address, seed).await?;
-            site.state_server(&server.id, server.service, answers.address, server.stage, "ready");
-            answers.follow(site.life_switch(&server.id)?.clone());
+            site.write_entry(&server.id, server.service, answers.address, server.stage, "ready");
+            answers.follow(site.incarnation_switch(&server.id)?.clone());
             links.push(link);
             answer_links.push(answers);
         }
@@ -192,8 +192,8 @@
         folder: &std::path::Path,
         place: usize,
     ) -> Result<()> {
-        let cuts = self.sockets.cuts.clone();
-        let link = LinkProxy::start_among(self.site.store_address, cuts).await?;
+        let partitions = self.sockets.partitions.clone();
+        let link = LinkProxy::start_with(self.site.store_address, partitions).await?;
         let seed = options.seed.wrapping_mul(SERVER_SEEDS) + (self.links.len() + place) as u64;
         let store = AnswerLink::start(link.address, seed).await?;
         let seeds: Vec<SocketAddr> = self.hosts.iter().map(|host| host.peers).collect();
@@ -248,7 +248,7 @@
             self.state_service(place, "ready");
         }
         self.take_limits_back();
-        self.sockets.cuts.end_all();
+        self.sockets.partitions.end_all();
         self.restart_crashed().await?;
         for link in self.links.iter().chain(&self.store_links) {
             link.set(ProxyMode::Pass);
--- a/src/bench/soak/soak_shock.rs
+++ b/src/bench/soak/soak_shock.rs
@@ -3,7 +3,7 @@
 use super::soak_cut::CutGroup;
 use super::soak_run::SoakStage;
 use crate::Result;
-use crate::bench::links::CutScope;
+use crate::bench::links::PartitionScope;
 use rand::Rng;
 use rand::rngs::StdRng;
 use std::time::Duration;
@@ -40,8 +40,8 @@
 /// What is done to hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum HostTrouble {
-    BeginCut(CutGroup, CutScope),
-    EndCut(CutGroup, CutScope),
+    BeginCut(CutGroup, PartitionScope),
+    EndCut(CutGroup, PartitionScope),
     Restart(CutGroup),
     FreezeAll,
     ThawAll,
@@ -79,24 +79,30 @@
         let at_once = Duration::ZERO;
         match self {
             Self::DomainCut(domain) => {
-                vec![(at_once, HostTrouble::BeginCut(CutGroup::Domain(domain), CutScope::All))]
+                vec![(
+                    at_once,
+                    HostTrouble::BeginCut(CutGroup::Domain(domain), PartitionScope::All),
+                )]
             }
             Self::ThirdCut => {
-                vec![(at_once, HostTrouble::BeginCut(CutGroup::Third(0), CutScope::All))]
+                vec![(at_once, HostTrouble::BeginCut(CutGroup::Third(0), PartitionScope::All))]
             }
             Self::CutInTurn => vec![
-                (at_once, HostTrouble::BeginCut(CutGroup::Third(0), CutScope::All)),
-                (TURN_PAUSE, HostTrouble::BeginCut(CutGroup::Third(1), CutScope::All)),
-                (TURN_PAUSE * 2, HostTrouble::BeginCut(CutGroup::Third(2), CutScope::All)),
-                (SHOCK_TIME, HostTrouble::EndCut(CutGroup::Third(0), CutScope::All)),
-                (SHOCK_TIME + TURN_PAUSE, HostTrouble::EndCut(CutGroup::Third(1), CutScope::All)),
+                (at_once, HostTrouble::BeginCut(CutGroup::Third(0), PartitionScope::All)),
+                (TURN_PAUSE, HostTrouble::BeginCut(CutGroup::Third(1), PartitionScope::All)),
+                (TURN_PAUSE * 2, HostTrouble::BeginCut(CutGroup::Third(2), PartitionScope::All)),
+                (SHOCK_TIME, HostTrouble::EndCut(CutGroup::Third(0), PartitionScope::All)),
+                (
+                    SHOCK_TIME + TURN_PAUSE,
+                    HostTrouble::EndCut(CutGroup::Third(1), PartitionScope::All),
+                ),
             ],
             Self::CutBesideKills => vec![
-                (at_once, HostTrouble::BeginCut(CutGroup::Third(0), CutScope::All)),
+                (at_once, HostTrouble::BeginCut(CutGroup::Third(0), PartitionScope::All)),
                 (TURN_PAUSE, HostTrouble::Restart(CutGroup::Third(1))),
             ],
             Self::Isolated => {
-                vec![(at_once, HostTrouble::BeginCut(CutGroup::Third(1), CutScope::Hosts))]
+                vec![(at_once, HostTrouble::BeginCut(CutGroup::Third(1), PartitionScope::Hosts))]
             }
             Self::AllFrozen => vec![(at_once, HostTrouble::FreezeAll)],
         }
@@ -105,12 +111,14 @@
     /// What ends it.
     const fn end(self) -> HostTrouble {
         match self {
-            Self::DomainCut(domain) => HostTrouble::EndCut(CutGroup::Domain(domain), CutScope::All),
+            Self::DomainCut(domain) => {
+                HostTrouble::EndCut(CutGroup::Domain(domain), PartitionScope::All)
+            }
             Self::ThirdCut | Self::CutBesideKills => {
-                HostTrouble::EndCut(CutGroup::Third(0), CutScope::All)
+                HostTrouble::EndCut(CutGroup::Third(0), PartitionScope::All)
             }
-            Self::CutInTurn => HostTrouble::EndCut(CutGroup::Third(2), CutScope::All),
-            Self::Isolated => HostTrouble::EndCut(CutGroup::Third(1), CutScope::Hosts),
+            Self::CutInTurn => HostTrouble::EndCut(CutGroup::Third(2), PartitionScope::All),
+            Self::Isolated => HostTrouble::EndCut(CutGroup::Third(1), PartitionScope::Hosts),
             Self::AllFrozen => HostTrouble::ThawAll,
         }
     }
--- a/src/bench/standin_set.rs
+++ b/src/bench/standin_set.rs
@@ -120,7 +120,7 @@
 
     /// What really happened so far.
     pub fn stats(&self) -> StandinStats {
-        let (calls, platform_writes) = self.platform.counts();
+        let (calls, platform_writes) = self.platform.call_counts();
         let platform_reads = calls - platform_writes;
         let mut stats = StandinStats { platform_reads, platform_writes, ..Default::default() };
         for (name, engine) in &self.engines {
--- a/tests/confirmed_changes.rs
+++ b/tests/confirmed_changes.rs
@@ -66,7 +66,7 @@
         let server = self.site.servers.iter().find(|server| server.id == DRAINING_SERVER);
         let server = server.expect("a server");
         let (service, address) = (server.service, server.address);
-        self.site.state_server(DRAINING_SERVER, service, address, server.stage, "draining");
+        self.site.write_entry(DRAINING_SERVER, service, address, server.stage, "draining");
         for (index, gateway) in self.site.hosts.iter().enumerate() {
             let key = ServerKey::of(DRAINING_SERVER);
             let what = format!("host {index} never knows that the server is draining");
@@ -104,7 +104,7 @@
         let hosts = LinkedHosts::start().await;
         for link in &hosts.links {
             match fault {
-                LinkFault::OpenSilent => link.connections.silence_open(),
+                LinkFault::OpenSilent => link.connections.stall_open_connections(),
                 LinkFault::AllSilent => link.connections.set(ProxyMode::Silent),
             }
         }
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
-use tealcleat::bench::site::{RestartPlace, SiteCall, SitePlan, TestSite, call_site};
+use tealcleat::bench::site::{RestartAddress, SiteCall, SitePlan, TestSite, call_site};
 use tealcleat::bench::{GatewayProcess, ProcessPlan};
 use tealcleat::quarantine::CRASH_RETENTION;
 
@@ -56,7 +56,7 @@
     loop {
         site.crashed(id).await.expect("a server");
         tokio::time::sleep(DOWN_TIME).await;
-        site.restart(id, RestartPlace::Other).await.expect("a restart");
+        site.restart(id, RestartAddress::Other).await.expect("a restart");
     }
 }
 
@@ -129,12 +129,12 @@
     runtime().block_on(async {
         let mut site = crashing_site(1).await;
         if starts_before {
-            site.add_lone_host().await.expect("a host");
+            site.add_isolated_host().await.expect("a host");
         }
         with_restarts(&site, crash_servers(&site, "stream", &callers(&site)[..1], CRASHES)).await;
         tokio::time::sleep(SPREAD_TIME).await;
         if !starts_before {
-            site.add_lone_host().await.expect("a host");
+            site.add_isolated_host().await.expect("a host");
         }
         site.wait_ready().await;
         tokio::time::sleep(SPREAD_TIME).await;
--- a/tests/engine_answers.rs
+++ b/tests/engine_answers.rs
@@ -22,8 +22,8 @@
     ServerOrder { fence, role: ServerRole::Decode, models, draining: false }
 }
 
-fn once(request_has: &'static str) -> DuplicatePlan {
-    DuplicatePlan { request_has, times: 1 }
+fn once(request_contains: &'static str) -> DuplicatePlan {
+    DuplicatePlan { request_contains, times: 1 }
 }
 
 fn tokens(events: &[StreamEvent]) -> Vec<String> {
@@ -96,7 +96,7 @@
         let own = answer_tokens(prompt_hash(&prompt), MAX_TOKENS);
         assert_eq!(linked.first_tokens(&prompt), own[..FIRST_TOKENS], "{prompt}");
     }
-    assert!(linked.prefills.iter().any(|link| link.left() == 0), "nothing was answered twice");
+    assert!(linked.prefills.iter().any(|link| link.remaining() == 0), "nothing was answered twice");
     assert!(linked.answers_of_others() > 0, "no copy arrived for another call");
     linked.fleet.wait_empty();
 }
@@ -115,7 +115,7 @@
         let answer: serde_json::Value = serde_json::from_str(&text).expect("JSON");
         assert_eq!(answer["path"], path);
     }
-    assert_eq!(linked.service.left(), 0, "nothing was answered twice");
+    assert_eq!(linked.service.remaining(), 0, "nothing was answered twice");
 }
 
 fn fleet_service(fleet: &LocalFleet) -> String {
@@ -138,7 +138,7 @@
             assert!(ended.is_ok(), "{ended:?}");
             streamed += 1;
         }
-        assert_eq!(engines.decode.left(), 0, "nothing was answered twice");
+        assert_eq!(engines.decode.remaining(), 0, "nothing was answered twice");
         assert_eq!(streamed, 3, "only the call that met another one's answer fails");
     });
 }
@@ -164,7 +164,7 @@
             assert!(ended.is_ok(), "{ended:?}");
             resumed += 1;
         }
-        assert_eq!(engines.decode.left(), 0, "nothing was answered twice");
+        assert_eq!(engines.decode.remaining(), 0, "nothing was answered twice");
         assert_eq!(resumed, 3, "only the call that met another one's answer fails");
     });
 }
@@ -181,7 +181,7 @@
             assert!(result.is_err(), "fence {fence} is lower than 5: {result:?}");
         }
         engines.client.order(address, &order(6)).await.expect("the newest order is accepted");
-        assert_eq!(engines.decode.left(), 0, "nothing was answered twice");
+        assert_eq!(engines.decode.remaining(), 0, "nothing was answered twice");
     });
 }
 
@@ -201,7 +201,7 @@
         );
         let again = engines.client.cancel(address, "never held".to_owned()).await;
         assert!(!again.expect("an answer").held);
-        assert_eq!(engines.decode.left(), 0, "nothing was answered twice");
+        assert_eq!(engines.decode.remaining(), 0, "nothing was answered twice");
     });
 }
 
@@ -221,7 +221,7 @@
             assert_eq!(load.cache.next, after);
             reported += 1;
         }
-        assert_eq!(engines.decode.left(), 0, "nothing was answered twice");
+        assert_eq!(engines.decode.remaining(), 0, "nothing was answered twice");
         assert_eq!(reported, 3, "only the call that met another one's answer fails");
     });
 }
--- a/tests/foreign_answers.rs
+++ b/tests/foreign_answers.rs
@@ -50,14 +50,14 @@
 fn stream_uses_its_own_prompt_after_duplicate_prefill_answer() {
     runtime().block_on(async {
         let (site, link) = duplicating_site().await;
-        link.duplicate(DuplicatePlan { request_has: "x-stage: prefill", times: 1 });
+        link.duplicate(DuplicatePlan { request_contains: "x-stage: prefill", times: 1 });
         for number in 0..8 {
             let id = format!("r{number}");
             let reply = call_first_host(&site, &call("POST", "stream", &id)).await;
             assert_eq!(reply.status, 200, "{id}");
             assert_eq!(prompts(&reply), [id]);
         }
-        assert_eq!(link.left(), 0, "nothing was answered twice");
+        assert_eq!(link.remaining(), 0, "nothing was answered twice");
     });
 }
 
@@ -66,7 +66,7 @@
     let service = Arc::new(SiteService::new("i-1"));
     let address = service.serve().await.expect("an address");
     let link = DuplicateLink::start(address).await.expect("a link");
-    link.duplicate(DuplicatePlan { request_has: "/first", times: 1 });
+    link.duplicate(DuplicatePlan { request_contains: "/first", times: 1 });
     link
 }
 
@@ -90,7 +90,7 @@
             let body = send(&pool, link.address, path, "the-same").await.expect("an answer");
             assert_eq!(body, format!("{path} the-same"));
         }
-        assert_eq!(link.left(), 0, "nothing was answered twice");
+        assert_eq!(link.remaining(), 0, "nothing was answered twice");
     });
 }
 
@@ -266,7 +266,7 @@
         let plan = SitePlan { services: 1, hosts: 0, ..SitePlan::default() };
         let mut site = TestSite::start(plan).await.expect("a site");
         let address = server_without_length(trailing).await;
-        site.state_server("i-service-0", "app", address, None, "ready");
+        site.write_entry("i-service-0", "app", address, None, "ready");
         site.add_host().await.expect("a host");
         site.wait_ready().await;
         let first = call_first_host(&site, &call("POST", "once", "r1")).await;
--- a/tests/foreign_entries.rs
+++ b/tests/foreign_entries.rs
@@ -18,9 +18,9 @@
 /// Asserts that a later change reaches the host through its existing watch, without a new listing.
 async fn assert_watch_continues(site: &TestSite, lists_before: u64) {
     let address = site.servers[0].address;
-    site.state_server("i-newcomer", "app", address, None, "draining");
+    site.write_entry("i-newcomer", "app", address, None, "draining");
     wait_until("a later change does not arrive", || knows(site, "i-newcomer")).await;
-    assert_eq!(site.store.lists(), lists_before, "the objects were listed again");
+    assert_eq!(site.store.list_calls(), lists_before, "the objects were listed again");
 }
 
 #[rstest]
@@ -63,7 +63,7 @@
 fn known_server_is_not_used_once_its_entry_is_unreadable(#[case] change: FieldChange) {
     runtime().block_on(async {
         let site = site_of(1).await;
-        let lists = site.store.lists();
+        let lists = site.store.list_calls();
         let spec = changed_spec(site.servers[0].address, change);
         site.store.change(|objects| objects.set_raw_spec(SERVERS_KIND, KNOWN, &spec));
         wait_until("the server stays in use", || !knows(&site, KNOWN)).await;
@@ -93,7 +93,7 @@
 fn watch_continues_after_an_unreadable_entry_is_removed() {
     runtime().block_on(async {
         let site = site_of(1).await;
-        let lists = site.store.lists();
+        let lists = site.store.list_calls();
         site.store.change(|objects| {
             objects.set_raw_spec(SERVERS_KIND, KNOWN, b"\"\xff\"");
             objects.remove(SERVERS_KIND, KNOWN);
@@ -111,7 +111,7 @@
         site.store.change(|objects| objects.set_raw_spec(SERVERS_KIND, KNOWN, b"\"\xff\""));
         wait_until("the server stays in use", || !knows(&site, KNOWN)).await;
         let server = site.servers.iter().find(|server| server.id == KNOWN).expect("one");
-        site.state_server(KNOWN, server.service, server.address, server.stage, "ready");
+        site.write_entry(KNOWN, server.service, server.address, server.stage, "ready");
         wait_until("the server does not come back", || knows(&site, KNOWN)).await;
     });
 }
@@ -147,7 +147,7 @@
         site.store.change(|objects| objects.set_raw_item(SERVERS_KIND, name, item));
         add_ready_host(&mut site).await;
         assert_servers(&site, None);
-        let lists = site.store.lists();
+        let lists = site.store.list_calls();
         site.store.change(|objects| objects.set_raw_item(SERVERS_KIND, "i-other", item));
         assert_watch_continues(&site, lists).await;
     });
@@ -160,7 +160,7 @@
         let mut site = site_of(0).await;
         let stranger = Arc::new(SiteService::new(FOREIGN));
         let address = stranger.serve().await.expect("a port");
-        site.state_server(FOREIGN, "nobody", address, None, "ready");
+        site.write_entry(FOREIGN, "nobody", address, None, "ready");
         add_ready_host(&mut site).await;
         for route in ["safe", "once", "stream", "resume"] {
             for number in 0..4 {
--- a/tests/gateway_engines.rs
+++ b/tests/gateway_engines.rs
@@ -28,7 +28,7 @@
             tokio::time::sleep(Duration::from_millis(150)).await;
             for server in site.servers.iter().filter(|server| server.stage == Some(draining)) {
                 let (id, service, address) = (&server.id, server.service, server.address);
-                site.state_server(id, service, address, server.stage, "draining");
+                site.write_entry(id, service, address, server.stage, "draining");
             }
             for engine in &site.prefills {
                 engine.set_fault(EngineFault::None);
@@ -62,8 +62,8 @@
             call_first_host(&site, &call("POST", "stream", &format!("n{number}"))).await;
         }
         // A rejected run is sent to its server twice, since the first rejection may be due to the prefill result.
-        assert!(site.prefills[0].turned_away() <= 1, "{}", site.prefills[0].turned_away());
-        assert!(site.decodes[0].turned_away() <= 2, "{}", site.decodes[0].turned_away());
+        assert!(site.prefills[0].rejected_count() <= 1, "{}", site.prefills[0].rejected_count());
+        assert!(site.decodes[0].rejected_count() <= 2, "{}", site.decodes[0].rejected_count());
         wait_released(&site).await;
     });
 }
--- a/tests/gateway_keys.rs
+++ b/tests/gateway_keys.rs
@@ -4,7 +4,7 @@
 use rstest::rstest;
 use std::time::Duration;
 use tealcleat::bench::site::{
-    EngineFault, SeenCaller, SiteCall, SitePlan, StoreFault, TestSite, call_site, keyed_config,
+    CallerRecord, EngineFault, SiteCall, SitePlan, StoreFault, TestSite, call_site, keyed_config,
 };
 
 mod site_common;
@@ -33,7 +33,7 @@
     site
 }
 
-fn service_callers(site: &TestSite, id: &str) -> Vec<SeenCaller> {
+fn service_callers(site: &TestSite, id: &str) -> Vec<CallerRecord> {
     let callers = site.services.iter().flat_map(|service| service.callers());
     callers.filter(|caller| caller.request == id).collect()
 }
--- a/tests/gateway_start.rs
+++ b/tests/gateway_start.rs
@@ -17,7 +17,7 @@
     runtime().block_on(async {
         let mut site =
             TestSite::start(SitePlan { hosts: 0, ..SitePlan::default() }).await.expect("one");
-        site.store.hold_stale();
+        site.store.freeze_stale_lists();
         site.store.change(|objects| objects.remove("servers", "i-decode-0"));
         site.add_host().await.expect("a host");
         site.wait_ready().await;
@@ -33,12 +33,12 @@
     runtime().block_on(async {
         let mut site = TestSite::start(SitePlan::default()).await.expect("a site");
         site.store.set_fault(StoreFault::Busy);
-        let before = site.store.lists();
+        let before = site.store.list_calls();
         for _ in 0..3 {
             site.add_host().await.expect("a host");
             site.wait_ready().await;
         }
-        assert_eq!(site.store.lists(), before);
+        assert_eq!(site.store.list_calls(), before);
     });
 }
 
--- a/tests/limited_calls.rs
+++ b/tests/limited_calls.rs
@@ -4,7 +4,7 @@
 use rstest::rstest;
 use std::time::Duration;
 use tealcleat::bench::site::{
-    CallerReply, LimitSpeech, RestartPlace, ServiceFault, SitePlan, TestSite, call_site,
+    CallerReply, LimitAnnouncement, RestartAddress, ServiceFault, SitePlan, TestSite, call_site,
 };
 
 mod site_common;
@@ -46,7 +46,7 @@
 fn other_servers_take_over() {
     runtime().block_on(async {
         let site = site_of(SitePlan::default()).await;
-        site.services[0].arrivals.set(LimitSpeech::of(LOW_LIMIT));
+        site.services[0].arrivals.set(LimitAnnouncement::of(LOW_LIMIT));
         until_limited(&site, "once").await;
         let before = site.services[0].arrivals.count();
         assert_eq!(call_many(&site, "once", "r", 40).await, vec![200; 40]);
@@ -59,7 +59,7 @@
     runtime().block_on(async {
         let site = site_of(SitePlan::default()).await;
         for service in &site.services {
-            service.arrivals.set(LimitSpeech::of(LOW_LIMIT));
+            service.arrivals.set(LimitAnnouncement::of(LOW_LIMIT));
         }
         until_limited(&site, "once").await;
         let mut delays = Vec::new();
@@ -84,10 +84,10 @@
 fn streams_go_to_engines_below_limit_or_are_refused_with_nothing_held() {
     runtime().block_on(async {
         let site = site_of(SitePlan::default()).await;
-        site.decodes[0].arrivals.set(LimitSpeech::of(LOW_LIMIT));
+        site.decodes[0].arrivals.set(LimitAnnouncement::of(LOW_LIMIT));
         until_limited(&site, "stream").await;
         assert_eq!(call_many(&site, "stream", "r", 8).await, vec![200; 8]);
-        site.decodes[1].arrivals.set(LimitSpeech::of(LOW_LIMIT));
+        site.decodes[1].arrivals.set(LimitAnnouncement::of(LOW_LIMIT));
         let statuses = call_many(&site, "stream", "s", 8).await;
         assert!(statuses.iter().filter(|status| **status == 503).count() >= 5, "{statuses:?}");
         let reply = call_first_host(&site, &call("POST", "stream", "last")).await;
@@ -103,7 +103,7 @@
 fn prompts_are_read_by_decode_engines_where_prefill_is_at_its_limit() {
     runtime().block_on(async {
         let site = site_of(SitePlan { prefills: 1, ..SitePlan::default() }).await;
-        site.prefills[0].arrivals.set(LimitSpeech::of(LOW_LIMIT));
+        site.prefills[0].arrivals.set(LimitAnnouncement::of(LOW_LIMIT));
         until_limited(&site, "stream").await;
         let before = site.prefills[0].arrivals.count();
         assert_eq!(call_many(&site, "stream", "r", 12).await, vec![200; 12]);
@@ -121,7 +121,7 @@
     runtime().block_on(async {
         let site = site_of(SitePlan { services: 1, ..SitePlan::default() }).await;
         let values = vec![value.to_owned()];
-        site.services[0].arrivals.set(LimitSpeech { values, ..LimitSpeech::default() });
+        site.services[0].arrivals.set(LimitAnnouncement { values, ..LimitAnnouncement::default() });
         assert_eq!(call_many(&site, "once", "r", 20).await, vec![200; 20]);
         assert_eq!(site.hosts[0].host.state().send_control.limits.limited().count(), 0);
     });
@@ -134,13 +134,13 @@
         let site = site_of(SitePlan { services: 1, ..SitePlan::default() }).await;
         let service = &site.services[0];
         service.set_fault(ServiceFault::ForeignAnswer);
-        service.arrivals.set(LimitSpeech::of(LOW_LIMIT));
+        service.arrivals.set(LimitAnnouncement::of(LOW_LIMIT));
         assert_eq!(call_many(&site, "safe", "f", 3).await, vec![502; 3]);
         assert_eq!(site.hosts[0].host.state().send_control.limits.limited().count(), 0);
         service.set_fault(ServiceFault::None);
         until_limited(&site, "once").await;
         service.set_fault(ServiceFault::ForeignAnswer);
-        service.arrivals.set(LimitSpeech::default());
+        service.arrivals.set(LimitAnnouncement::default());
         call_many(&site, "safe", "g", 3).await;
         assert_eq!(site.hosts[0].host.state().send_control.limits.limited().count(), 1);
     });
@@ -152,7 +152,7 @@
         let site = site_of(SitePlan::default()).await;
         let service = &site.services[0];
         service.set_fault(ServiceFault::Full);
-        service.arrivals.set(LimitSpeech::of(LOW_LIMIT));
+        service.arrivals.set(LimitAnnouncement::of(LOW_LIMIT));
         until_limited(&site, "safe").await;
         let before = service.arrivals.count();
         assert_eq!(call_many(&site, "safe", "r", 20).await, vec![200; 20]);
@@ -165,9 +165,9 @@
     runtime().block_on(async {
         let site = site_of(SitePlan { services: 1, ..SitePlan::default() }).await;
         let service = &site.services[0];
-        service.arrivals.set(LimitSpeech::of(20.0));
+        service.arrivals.set(LimitAnnouncement::of(20.0));
         until_limited(&site, "once").await;
-        service.arrivals.set(LimitSpeech::default());
+        service.arrivals.set(LimitAnnouncement::default());
         let mut serial = 0;
         while site.hosts[0].host.state().send_control.limits.limited().next().is_some() {
             serial += 1;
@@ -182,11 +182,11 @@
 fn new_incarnation_of_a_server_has_no_limit() {
     runtime().block_on(async {
         let site = site_of(SitePlan { services: 1, ..SitePlan::default() }).await;
-        site.services[0].arrivals.set(LimitSpeech::of(LOW_LIMIT));
+        site.services[0].arrivals.set(LimitAnnouncement::of(LOW_LIMIT));
         until_limited(&site, "once").await;
         let id = site.services[0].id.clone();
         let before = site.hosts[0].host.state().fleet.revision();
-        site.restart(&id, RestartPlace::Other).await.expect("a restart");
+        site.restart(&id, RestartAddress::Other).await.expect("a restart");
         while site.hosts[0].host.state().fleet.revision() == before {
             tokio::time::sleep(POLL_PERIOD).await;
         }
@@ -199,7 +199,7 @@
 fn host_that_joins_knows_limits() {
     runtime().block_on(async {
         let mut site = site_of(SitePlan::default()).await;
-        site.services[0].arrivals.set(LimitSpeech::of(LOW_LIMIT));
+        site.services[0].arrivals.set(LimitAnnouncement::of(LOW_LIMIT));
         until_limited(&site, "once").await;
         site.add_host().await.expect("a host");
         site.wait_ready().await;
--- a/tests/limited_servers.rs
+++ b/tests/limited_servers.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
-use tealcleat::bench::site::{LimitExcess, LimitSpeech, SitePlan, TestSite, call_site};
+use tealcleat::bench::site::{LimitAnnouncement, LimitExcess, SitePlan, TestSite, call_site};
 use tealcleat::bench::{GatewayProcess, ProcessPlan};
 
 mod machine_common;
@@ -41,7 +41,7 @@
     async fn start(name: &str) -> Self {
         let plan = SitePlan { prefills: 3, decodes: 6, services: 6, hosts: 0 };
         let mut site = TestSite::start(plan).await.expect("a site");
-        site.spread(DOMAINS);
+        site.spread_over_domains(DOMAINS);
         let folder = test_folder(name);
         let environment = held_clock(name);
         let mut hosts: Vec<GatewayProcess> = Vec::new();
@@ -88,7 +88,7 @@
     }
 
     fn limit_service(&self, place: usize, limit: f64) {
-        self.site.services[place].arrivals.set(LimitSpeech::of(limit));
+        self.site.services[place].arrivals.set(LimitAnnouncement::of(limit));
     }
 }
 
@@ -150,17 +150,17 @@
         rig.limit_service(place, limit * part);
     }
     for (place, limit) in [2.0, 0.8].into_iter().enumerate() {
-        rig.site.decodes[place].arrivals.set(LimitSpeech::of(limit * part));
+        rig.site.decodes[place].arrivals.set(LimitAnnouncement::of(limit * part));
     }
-    rig.site.prefills[0].arrivals.set(LimitSpeech::of(6.0 * part));
+    rig.site.prefills[0].arrivals.set(LimitAnnouncement::of(6.0 * part));
 }
 
 fn withdraw_limits(rig: &LimitRig) {
     for service in &rig.site.services {
-        service.arrivals.set(LimitSpeech::default());
+        service.arrivals.set(LimitAnnouncement::default());
     }
     for engine in rig.site.prefills.iter().chain(&rig.site.decodes) {
-        engine.arrivals.set(LimitSpeech::default());
+        engine.arrivals.set(LimitAnnouncement::default());
     }
 }
 
@@ -218,7 +218,7 @@
             (0..rig.site.services.len()).for_each(|place| rig.limit_service(place, 3.3));
         }
         if case == LimitCase::OmittedNowAndThen {
-            let speech = LimitSpeech { silent_each: 7, ..LimitSpeech::of(5.0) };
+            let speech = LimitAnnouncement { omit_every: 7, ..LimitAnnouncement::of(5.0) };
             rig.site.services[0].arrivals.set(speech);
         }
         tokio::time::sleep(STEP_DURATION).await;
--- a/tests/server_incarnations.rs
+++ b/tests/server_incarnations.rs
@@ -3,7 +3,7 @@
 
 use rstest::rstest;
 use std::time::Duration;
-use tealcleat::bench::site::{EngineFault, RestartPlace, SiteEngine, SitePlan, TestSite};
+use tealcleat::bench::site::{EngineFault, RestartAddress, SiteEngine, SitePlan, TestSite};
 use tealcleat::fleet::{FleetView, ServerEntry, ServerStage};
 use tealcleat::keys::{NameKey, ServerKey};
 use tealcleat::placement::ServerLoad;
@@ -21,7 +21,7 @@
 async fn site_with_start_times(plan: SitePlan) -> TestSite {
     let mut site = TestSite::start(SitePlan { hosts: 0, ..plan }).await.expect("a site");
     for server in &site.servers {
-        site.restart(&server.id, RestartPlace::Same).await.expect("a restart");
+        site.restart(&server.id, RestartAddress::Same).await.expect("a restart");
     }
     for _ in 0..plan.hosts {
         site.add_host().await.expect("a host");
@@ -39,7 +39,7 @@
 }
 
 /// Restarts a server and waits until all daemons know its new incarnation.
-async fn restart(site: &TestSite, id: &str, place: RestartPlace) {
+async fn restart(site: &TestSite, id: &str, place: RestartAddress) {
     let started_at = site.restart(id, place).await.expect("a restart");
     for gateway in &site.hosts {
         while find(&gateway.host.state().fleet, id).and_then(|entry| entry.started_at)
@@ -52,9 +52,9 @@
 
 /// The circuit breaker of the only server is open when the server comes back.
 #[rstest]
-#[case::same_address(RestartPlace::Same)]
-#[case::other_address(RestartPlace::Other)]
-fn restarted_server_not_skipped_for_its_former_incarnation(#[case] place: RestartPlace) {
+#[case::same_address(RestartAddress::Same)]
+#[case::other_address(RestartAddress::Other)]
+fn restarted_server_not_skipped_for_its_former_incarnation(#[case] place: RestartAddress) {
     runtime().block_on(async {
         let site = site_with_start_times(SitePlan { services: 1, ..SitePlan::default() }).await;
         let host = &site.hosts[0].host;
@@ -80,7 +80,7 @@
             let load = ServerLoad { memory_tokens, ..ServerLoad::default() };
             site.hosts[0].host.state().server_loads.add(key, load);
         }
-        restart(&site, "i-decode-0", RestartPlace::Same).await;
+        restart(&site, "i-decode-0", RestartAddress::Same).await;
         let reply = call_first_host(&site, &call("POST", "stream", "r1")).await;
         assert_eq!(reply.status, 200);
         assert_eq!(site.decodes[0].runs().len(), 1, "the restarted server was not chosen");
@@ -104,8 +104,8 @@
             state.stage_changes.record_announcement(now, keys[0], ServerStage::Decode);
             state.stage_changes.record_announcement(now, keys[1], ServerStage::Prefill);
         }
-        restart(&site, "i-prefill-0", RestartPlace::Same).await;
-        restart(&site, "i-decode-0", RestartPlace::Same).await;
+        restart(&site, "i-prefill-0", RestartAddress::Same).await;
+        restart(&site, "i-decode-0", RestartAddress::Same).await;
         let reply = call_first_host(&site, &call("POST", "stream", "r1")).await;
         assert_eq!(reply.status, 200);
         let stages: Vec<String> =
@@ -118,9 +118,9 @@
 /// The only decode server crashes in the middle of a stream and restarts: its new incarnation, which lost no
 /// run, continues the stream.
 #[rstest]
-#[case::same_address(RestartPlace::Same)]
-#[case::other_address(RestartPlace::Other)]
-fn lost_stream_resumed_at_the_next_incarnation(#[case] place: RestartPlace) {
+#[case::same_address(RestartAddress::Same)]
+#[case::other_address(RestartAddress::Other)]
+fn lost_stream_resumed_at_the_next_incarnation(#[case] place: RestartAddress) {
     runtime().block_on(async {
         let site = site_with_start_times(SitePlan { decodes: 1, ..SitePlan::default() }).await;
         site.decodes[0].set_fault(EngineFault::StallAfter(3));
@@ -155,8 +155,8 @@
             while site.decodes[0].open_holds() == 0 {
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
-            restart(&site, "i-decode-0", RestartPlace::Same).await;
-            restart(&site, "i-prefill-0", RestartPlace::Same).await;
+            restart(&site, "i-decode-0", RestartAddress::Same).await;
+            restart(&site, "i-prefill-0", RestartAddress::Same).await;
         };
         let (reply, ()) = tokio::join!(call_first_host(&site, &slow), back);
         assert_eq!((reply.status.as_u16(), reply.complete), (200, true));
@@ -174,7 +174,7 @@
         let site = site_with_start_times(SitePlan { services: 1, ..SitePlan::default() }).await;
         let host = &site.hosts[0].host;
         let former = site.store.spec("servers", "i-service-0").expect("an entry");
-        restart(&site, "i-service-0", RestartPlace::Other).await;
+        restart(&site, "i-service-0", RestartAddress::Other).await;
         let known = find(&host.state().fleet, "i-service-0");
         let mut seen = 0;
         site.store.change(|objects| {
@@ -196,7 +196,7 @@
     runtime().block_on(async {
         let site = site_with_start_times(SitePlan { hosts: 3, ..SitePlan::default() }).await;
         let former = key_of(&site, "i-decode-0");
-        restart(&site, "i-decode-0", RestartPlace::Other).await;
+        restart(&site, "i-decode-0", RestartAddress::Other).await;
         for gateway in &site.hosts {
             let state = gateway.host.state();
             let incarnations = state.fleet.entries().filter(|entry| entry.id == "i-decode-0");
@@ -214,8 +214,8 @@
     runtime().block_on(async {
         let site = site_with_start_times(SitePlan { prefills: 6, ..SitePlan::default() }).await;
         for engine in &site.prefills {
-            let started_at = engine.born().expect("a start") + 1_000_000;
-            engine.restart(started_at, RestartPlace::Same).await.expect("a restart");
+            let started_at = engine.started_at().expect("a start") + 1_000_000;
+            engine.restart(started_at, RestartAddress::Same).await.expect("a restart");
         }
         record_low_prefill_work(&site);
         let sum = |count: fn(&SiteEngine) -> u64| {
@@ -227,7 +227,7 @@
         }
         assert_eq!(sum(|engine| engine.orders().len() as u64), 0);
         for server in site.servers.iter().filter(|server| server.stage == Some("prefill")) {
-            site.state_server(&server.id, server.service, server.address, server.stage, "ready");
+            site.write_entry(&server.id, server.service, server.address, server.stage, "ready");
         }
         while sum(|engine| engine.orders().len() as u64) == 0 {
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -256,7 +256,7 @@
         let key = ServerKey::of("i-decode-0");
         assert!(site.hosts[0].host.state().fleet.is_ready(key));
         let server = site.servers.iter().find(|server| server.id == "i-decode-0").expect("one");
-        site.state_server("i-decode-0", server.service, server.address, server.stage, "draining");
+        site.write_entry("i-decode-0", server.service, server.address, server.stage, "draining");
         while site.hosts[0].host.state().fleet.is_ready(key) {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
--- a/tests/silent_peers.rs
+++ b/tests/silent_peers.rs
@@ -54,7 +54,7 @@
     runtime().block_on(async {
         let (client, link) = (PeerClient::new(KEY), linked_peer().await);
         assert_eq!(call(&client, link.address, 1).await, Some(1));
-        link.silence_open();
+        link.stall_open_connections();
         assert_eq!(call(&client, link.address, 2).await, None);
         assert_eq!(call(&client, link.address, 3).await, Some(3));
     });
@@ -65,7 +65,7 @@
     runtime().block_on(async {
         let (client, link) = (PeerClient::new(KEY), linked_peer().await);
         assert_eq!(fetch(&client, link.address, 1).await, Some(1));
-        link.silence_open();
+        link.stall_open_connections();
         assert_eq!(fetch(&client, link.address, 2).await, Some(2));
     });
 }
@@ -78,8 +78,8 @@
             (PeerClient::new(KEY), linked_peer().await, linked_peer().await);
         assert_eq!(call(&client, first.address, 1).await, Some(1));
         assert_eq!(call(&client, second.address, 1).await, Some(1));
-        first.silence_open();
-        second.silence_open();
+        first.stall_open_connections();
+        second.stall_open_connections();
         assert_eq!(call(&client, first.address, 2).await, None);
         assert_eq!(call(&client, second.address, 3).await, Some(3));
     });
--- a/tests/silent_servers.rs
+++ b/tests/silent_servers.rs
@@ -50,7 +50,7 @@
 fn silent_connections_cost_one_call() {
     runtime().block_on(async {
         let (pool, link, _service) = idle_connections().await;
-        link.silence_open();
+        link.stall_open_connections();
         assert!(!call_server(&pool, link.address, "meets-silence").await);
         assert!(call_server(&pool, link.address, "comes-next").await);
     });
--- a/tests/store_answers.rs
+++ b/tests/store_answers.rs
@@ -32,12 +32,12 @@
 fn store_read_returns_its_own_object_after_duplicate_answer() {
     runtime().block_on(async {
         let (_store, link, client) = duplicating_store().await;
-        link.duplicate(DuplicatePlan { request_has: "claims/a", times: 1 });
+        link.duplicate(DuplicatePlan { request_contains: "claims/a", times: 1 });
         for name in ["a", "b"] {
             let object = client.read("claims", name, LIMIT).await.expect("an answer");
             assert_eq!(object.map(|object| object.name).as_deref(), Some(name));
         }
-        assert_eq!(link.left(), 0, "nothing was answered twice");
+        assert_eq!(link.remaining(), 0, "nothing was answered twice");
     });
 }
 
@@ -45,12 +45,12 @@
 fn store_refused_write_is_a_conflict_after_duplicate_answer() {
     runtime().block_on(async {
         let (_store, link, client) = duplicating_store().await;
-        link.duplicate(DuplicatePlan { request_has: "post ", times: 1 });
+        link.duplicate(DuplicatePlan { request_contains: "post ", times: 1 });
         let made = client.write("claims", "c", None, &json!({"of": "c"}), LIMIT).await;
         assert!(matches!(made, WriteOutcome::Written(_)), "{made:?}");
         let refused = client.write("claims", "a", Some(9999), &json!({"of": "x"}), LIMIT).await;
         assert_eq!(refused, WriteOutcome::Conflict);
-        assert_eq!(link.left(), 0, "nothing was answered twice");
+        assert_eq!(link.remaining(), 0, "nothing was answered twice");
     });
 }
 
@@ -58,12 +58,12 @@
 fn store_list_returns_its_own_kind_after_duplicate_answer() {
     runtime().block_on(async {
         let (_store, link, client) = duplicating_store().await;
-        link.duplicate(DuplicatePlan { request_has: "objects/config", times: 1 });
+        link.duplicate(DuplicatePlan { request_contains: "objects/config", times: 1 });
         let none = client.list("config", ListAge::Newest, LIMIT).await.expect("an answer");
         assert!(none.items.is_empty());
         let claims = client.list("claims", ListAge::Newest, LIMIT).await.expect("an answer");
         assert_eq!(claims.items.len(), 2);
-        assert_eq!(link.left(), 0, "nothing was answered twice");
+        assert_eq!(link.remaining(), 0, "nothing was answered twice");
     });
 }
 
@@ -76,11 +76,11 @@
         for number in 0..9 {
             store.change(|objects| objects.set("many", &format!("many-{number}"), json!(number)));
         }
-        link.duplicate(DuplicatePlan { request_has: "after=many-5", times: 1 });
+        link.duplicate(DuplicatePlan { request_contains: "after=many-5", times: 1 });
         for _ in 0..2 {
             let list = client.list("many", ListAge::Newest, LIMIT).await.expect("an answer");
             assert_eq!(list.items.len(), 9);
         }
-        assert_eq!(link.left(), 0, "nothing was answered twice");
+        assert_eq!(link.remaining(), 0, "nothing was answered twice");
     });
 }
