--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -1,23 +1,23 @@
-//! Calls that must run at most once, while the store, the service and hosts fail.
+//! Calls that must run at most once, while the store, the service or hosts fail.
 
 mod common;
 
-use common::{LocalFleet, PATIENCE, wait_until};
+use common::{CALL_TIMEOUT, LocalFleet, wait_until};
 use tealcleat::bench::{CallResult, FaultKind, http_call};
 
 #[test]
-fn crossed_repeats_run_once() {
+fn concurrent_retries_run_once() {
     let fleet = LocalFleet::start();
     let caller = fleet.caller();
     let addresses: Vec<_> = fleet.daemons.iter().map(|daemon| daemon.callers).collect();
-    for turn in 0..5 {
-        let (key, body) = (format!("key-{turn}"), format!("{{\"crew\":{turn}}}"));
+    for round in 0..5 {
+        let (key, body) = (format!("key-{round}"), format!("{{\"crew\":{round}}}"));
         let header = ("idempotency-key", key.as_str());
         let (one, two, three) = fleet.runtime.block_on(async {
             tokio::join!(
-                caller.book(addresses[0], "hanbit", header, &body, PATIENCE),
-                caller.book(addresses[1], "hanbit", header, &body, PATIENCE),
-                caller.book(addresses[2], "hanbit", header, &body, PATIENCE)
+                caller.book(addresses[0], "hanbit", header, &body, CALL_TIMEOUT),
+                caller.book(addresses[1], "hanbit", header, &body, CALL_TIMEOUT),
+                caller.book(addresses[2], "hanbit", header, &body, CALL_TIMEOUT)
             )
         });
         let results = [one.0, two.0, three.0];
@@ -29,11 +29,11 @@
 }
 
 #[test]
-fn repeat_after_the_answer_is_not_answered() {
+fn retry_after_answer_is_already_answered() {
     let fleet = LocalFleet::start();
     assert_eq!(fleet.book(0, "k", "{\"a\":1}").0, CallResult::Whole);
-    for place in 0..3 {
-        let (result, text) = fleet.book(place, "k", "{\"a\":1}");
+    for host_index in 0..3 {
+        let (result, text) = fleet.book(host_index, "k", "{\"a\":1}");
         assert_eq!(result, CallResult::Elsewhere, "{text}");
         assert!(text.contains("already_answered"), "{text}");
     }
@@ -44,27 +44,27 @@
 fn same_key_with_another_body_is_refused() {
     let fleet = LocalFleet::start();
     assert_eq!(fleet.book(0, "k", "{\"a\":1}").0, CallResult::Whole);
-    for place in 0..3 {
-        let (_, text) = fleet.book(place, "k", "{\"a\":2}");
+    for host_index in 0..3 {
+        let (_, text) = fleet.book(host_index, "k", "{\"a\":2}");
         assert!(text.contains("key_reused"), "{text}");
     }
     assert_eq!(fleet.runs_of("{\"a\":2}"), 0);
 }
 
 #[test]
-fn same_key_of_another_caller_is_another_key() {
+fn same_key_of_another_organisation_is_independent() {
     let fleet = LocalFleet::start();
     let caller = fleet.caller();
     let header = ("idempotency-key", "k");
     for (org, body) in [("hanbit", "{\"o\":1}"), ("moonpanel", "{\"o\":2}")] {
         let address = fleet.daemons[0].callers;
-        let booked = fleet.runtime.block_on(caller.book(address, org, header, body, PATIENCE));
+        let booked = fleet.runtime.block_on(caller.book(address, org, header, body, CALL_TIMEOUT));
         assert_eq!(booked.0, CallResult::Whole, "{}", booked.1);
     }
 }
 
 #[test]
-fn answer_of_a_caller_who_left_goes_to_its_repeat() {
+fn answer_after_caller_left_goes_to_retry() {
     let fleet = LocalFleet::start();
     let caller = fleet.caller();
     let address = fleet.daemons[0].callers;
@@ -76,30 +76,32 @@
     let (result, text) = fleet.book(1, "gone", body);
     assert!(result == CallResult::Elsewhere && text.contains("in_progress"), "{result:?} {text}");
     fleet.fault("reader-app", FaultKind::Freeze, false);
-    wait_until("the run", || fleet.runs_of(body) == 1);
-    wait_until("the kept answer", || fleet.book(2, "gone", body).0 == CallResult::Whole);
+    wait_until("the call to run", || fleet.runs_of(body) == 1);
+    wait_until("the kept answer to be returned", || {
+        fleet.book(2, "gone", body).0 == CallResult::Whole
+    });
     assert_eq!(fleet.book(0, "gone", body).0, CallResult::Elsewhere);
     assert_eq!(fleet.runs_of(body), 1);
 }
 
 #[test]
-fn lost_service_answer_is_unknown_for_ever() {
+fn lost_service_answer_stays_unknown() {
     let fleet = LocalFleet::start();
     fleet.fault("reader-app", FaultKind::LoseService, true);
     assert_eq!(fleet.book(0, "lost", "{\"l\":1}").0, CallResult::Unknown);
     fleet.fault("reader-app", FaultKind::LoseService, false);
-    for place in 0..3 {
-        assert_eq!(fleet.book(place, "lost", "{\"l\":1}").0, CallResult::Unknown);
+    for host_index in 0..3 {
+        assert_eq!(fleet.book(host_index, "lost", "{\"l\":1}").0, CallResult::Unknown);
     }
     assert_eq!(fleet.runs_of("{\"l\":1}"), 1);
 }
 
 #[test]
-fn store_outage_refuses_at_once_and_never_says_not_run() {
+fn store_outage_is_unknown_and_never_not_run() {
     let fleet = LocalFleet::start();
     assert_eq!(fleet.book(0, "before", "{\"b\":1}").0, CallResult::Whole);
     fleet.fault("platform", FaultKind::Outage, true);
-    // Run before the outage: "not run" would be a lie, whoever is asked.
+    // This call ran before the outage, so no host may report it as "not run".
     let (result, text) = fleet.book(2, "before", "{\"b\":1}");
     assert!(matches!(result, CallResult::Unknown | CallResult::Elsewhere), "{text}");
     let (result, text) = fleet.book(0, "during", "{\"d\":1}");
@@ -107,18 +109,18 @@
     assert!(text.contains("store_away"), "{text}");
     assert_eq!(fleet.runs_of("{\"d\":1}"), 0);
     fleet.fault("platform", FaultKind::Outage, false);
-    wait_until("the store's return", || {
+    wait_until("the store to return", || {
         fleet.book(1, "during", "{\"d\":1}").0 == CallResult::Whole
     });
     assert_eq!(fleet.runs_of("{\"d\":1}"), 1);
 }
 
 #[test]
-fn lost_store_answers_double_nothing() {
+fn lost_store_answer_runs_once() {
     let fleet = LocalFleet::start();
     fleet.fault("platform", FaultKind::LoseAnswers, true);
     let (result, text) = fleet.book(0, "k", "{\"s\":1}");
-    // The write took effect: reading it back settles whose it is.
+    // The write took effect; reading the bucket back shows which attempt holds the claim.
     assert_eq!(result, CallResult::Whole, "{text}");
     fleet.fault("platform", FaultKind::LoseAnswers, false);
     assert_eq!(fleet.book(2, "k", "{\"s\":1}").0, CallResult::Elsewhere);
@@ -126,7 +128,7 @@
 }
 
 #[test]
-fn unreachable_service_is_not_run_and_may_be_repeated() {
+fn unreachable_service_is_not_run_and_retryable() {
     let fleet = LocalFleet::start();
     let version = fleet.confirm(
         0,
@@ -134,21 +136,23 @@
             "addresses":["127.0.0.1:1"],"once_paths":["/do"]}]}"#,
     );
     fleet.wait_ready(version);
-    let url = |place: usize| format!("http://{}/s/gone-app/do", fleet.daemons[place].callers);
+    let url =
+        |host_index: usize| format!("http://{}/s/gone-app/do", fleet.daemons[host_index].callers);
     let headers = [
         ("tealcleat-organisation", "hanbit"),
         ("tealcleat-class", "interactive"),
         ("idempotency-key", "k"),
     ];
-    for place in [0, 1, 2, 0] {
-        let (status, text) = http_call("POST", &url(place), &headers, "{}").expect("an answer");
+    for host_index in [0, 1, 2, 0] {
+        let (status, text) =
+            http_call("POST", &url(host_index), &headers, "{}").expect("an answer");
         assert_eq!(status, 503, "{text}");
         assert!(text.contains("not_run") && text.contains("service_unreachable"), "{text}");
     }
 }
 
-fn ticket(fleet: &LocalFleet, place: usize) -> String {
-    let url = format!("http://{}/v1/tickets", fleet.daemons[place].callers);
+fn ticket(fleet: &LocalFleet, host_index: usize) -> String {
+    let url = format!("http://{}/v1/tickets", fleet.daemons[host_index].callers);
     let (status, text) = http_call("POST", &url, &[], "").expect("an answer");
     assert_eq!(status, 200, "{text}");
     let value: serde_json::Value = serde_json::from_str(&text).expect("JSON");
@@ -156,16 +160,16 @@
 }
 
 #[test]
-fn ticket_books_once_without_the_store() {
+fn ticket_during_store_outage_runs_once() {
     let fleet = LocalFleet::start();
     fleet.fault("platform", FaultKind::Outage, true);
     let ticket = ticket(&fleet, 0);
     let caller = fleet.caller();
     let header = ("tealcleat-ticket", ticket.as_str());
-    // The balancer brings it to another host, in another domain.
-    let book = |place: usize, body: &'static str| {
-        let address = fleet.daemons[place].callers;
-        fleet.runtime.block_on(caller.book(address, "hanbit", header, body, PATIENCE))
+    // The ticket reaches another host, in another domain, as behind a load balancer.
+    let book = |host_index: usize, body: &'static str| {
+        let address = fleet.daemons[host_index].callers;
+        fleet.runtime.block_on(caller.book(address, "hanbit", header, body, CALL_TIMEOUT))
     };
     assert_eq!(book(2, "{\"t\":1}").0, CallResult::Whole);
     assert_eq!(book(0, "{\"t\":1}").0, CallResult::Elsewhere);
@@ -174,15 +178,15 @@
 }
 
 #[test]
-fn drain_cuts_off_no_booking() {
+fn drain_waits_for_booking() {
     let fleet = LocalFleet::start();
     fleet.fault("reader-app", FaultKind::Freeze, true);
     let (caller, address) = (fleet.caller(), fleet.daemons[0].callers);
     let booking = fleet.runtime.spawn(async move {
         let header = ("idempotency-key", "stop");
-        caller.book(address, "hanbit", header, "{\"stop\":1}", PATIENCE).await
+        caller.book(address, "hanbit", header, "{\"stop\":1}", CALL_TIMEOUT).await
     });
-    wait_until("the booking", || fleet.host(0).status().in_flight > 0);
+    wait_until("the booking to start", || fleet.host(0).status().in_flight > 0);
     fleet.host(0).begin_drain();
     let host = std::sync::Arc::clone(fleet.host(0));
     let drained = fleet.runtime.spawn(async move { host.finish_drain().await });
@@ -194,11 +198,11 @@
 }
 
 #[test]
-fn ticket_of_a_gone_holder_is_unknown() {
+fn ticket_of_unknown_holder_is_unknown() {
     let fleet = LocalFleet::start();
     let caller = fleet.caller();
     let header = ("tealcleat-ticket", "ticket-00000000000000ff-00000000000000ff");
     let address = fleet.daemons[0].callers;
-    let booked = fleet.runtime.block_on(caller.book(address, "hanbit", header, "{}", PATIENCE));
+    let booked = fleet.runtime.block_on(caller.book(address, "hanbit", header, "{}", CALL_TIMEOUT));
     assert_eq!(booked.0, CallResult::Unknown, "{}", booked.1);
 }
--- a/tests/callers.rs
+++ b/tests/callers.rs
@@ -1,4 +1,4 @@
-//! What callers send wrongly, and what they are told.
+//! Invalid requests of callers and the errors that they receive.
 
 mod common;
 
@@ -23,7 +23,7 @@
     message: &'static str,
 }
 
-fn bad(
+fn bad_call(
     name: &'static str,
     body: &str,
     status: u16,
@@ -61,50 +61,50 @@
 fn bad_calls() -> Vec<BadCall> {
     let long = format!("{{\"model\":\"inkmind\",\"prompt\":\"{}\"}}", "w ".repeat(40_000));
     vec![
-        bad(
+        bad_call(
             "json",
             "{",
             400,
             "invalid_json",
             "the body is not a completion request: EOF while parsing an object at line 1 column 1",
         ),
-        bad(
+        bad_call(
             "field",
             r#"{"model":"inkmind"}"#,
             400,
             "invalid_field",
             "the body is not a completion request: missing field `prompt` at line 1 column 19",
         ),
-        bad(
+        bad_call(
             "empty prompt",
             r#"{"model":"inkmind","prompt":" "}"#,
             400,
             "empty_prompt",
             "the prompt is empty",
         ),
-        bad(
+        bad_call(
             "tokens",
             r#"{"model":"inkmind","prompt":"a","max_tokens":0}"#,
             400,
             "invalid_max_tokens",
             "max_tokens must be from 1 to 4096, not 0",
         ),
-        bad(
+        bad_call(
             "model",
             r#"{"model":"nope","prompt":"a"}"#,
             404,
             "unknown_model",
             "model \"nope\" is not served",
         ),
-        bad(
+        bad_call(
             "adapter",
             r#"{"model":"inkmind","prompt":"a","adapter":"x"}"#,
             404,
             "unknown_adapter",
             "model \"inkmind\" has no adapter \"x\"",
         ),
-        bad("body limit", &long, 413, "body_too_large", "the body is longer than 65536 bytes"),
-        bad(
+        bad_call("body limit", &long, 413, "body_too_large", "the body is longer than 65536 bytes"),
+        bad_call(
             "no organisation",
             GOOD,
             400,
@@ -112,7 +112,7 @@
             "header tealcleat-organisation is missing",
         )
         .header(ORG.0, ""),
-        bad(
+        bad_call(
             "organisation",
             GOOD,
             403,
@@ -120,9 +120,9 @@
             "organisation \"other\" is not admitted",
         )
         .header(ORG.0, "other"),
-        bad("class", GOOD, 400, "unknown_class", "class \"gold\" is not promised anything")
+        bad_call("class", GOOD, 400, "unknown_class", "class \"gold\" is not promised anything")
             .header(CLASS.0, "gold"),
-        bad(
+        bad_call(
             "negative deadline",
             GOOD,
             400,
@@ -130,7 +130,7 @@
             "the deadline has passed: tealcleat-deadline-ms is -5",
         )
         .header("tealcleat-deadline-ms", "-5"),
-        bad(
+        bad_call(
             "passed deadline",
             GOOD,
             400,
@@ -138,7 +138,7 @@
             "the deadline has passed: tealcleat-deadline-ms is 0",
         )
         .header("tealcleat-deadline-ms", "0"),
-        bad(
+        bad_call(
             "deadline",
             GOOD,
             400,
@@ -146,13 +146,15 @@
             "tealcleat-deadline-ms must be a whole number, not \"soon\"",
         )
         .header("tealcleat-deadline-ms", "soon"),
-        bad("long key", GOOD, 400, "key_too_long", "idempotency-key is longer than 200 bytes")
+        bad_call("long key", GOOD, 400, "key_too_long", "idempotency-key is longer than 200 bytes")
             .header("idempotency-key", &"k".repeat(201)),
-        bad("method", "", 405, "wrong_method", "use POST, not PUT").to("PUT", "/v1/completions"),
-        bad("path", "", 404, "unknown_path", "no route for \"/v2/none\"").to("POST", "/v2/none"),
-        bad("service", "", 404, "unknown_service", "service \"none\" is not routed")
+        bad_call("method", "", 405, "wrong_method", "use POST, not PUT")
+            .to("PUT", "/v1/completions"),
+        bad_call("path", "", 404, "unknown_path", "no route for \"/v2/none\"")
+            .to("POST", "/v2/none"),
+        bad_call("service", "", 404, "unknown_service", "service \"none\" is not routed")
             .to("POST", "/s/none/x"),
-        bad(
+        bad_call(
             "missing key",
             "{}",
             400,
@@ -160,14 +162,14 @@
             "this call must not be repeated: send an idempotency-key or a ticket",
         )
         .to("POST", "/s/reader-app/comments"),
-        bad("ticket", "{}", 400, "invalid_ticket", "\"t\" is not a ticket")
+        bad_call("ticket", "{}", 400, "invalid_ticket", "\"t\" is not a ticket")
             .to("POST", "/s/reader-app/comments")
             .header("tealcleat-ticket", "t"),
     ]
 }
 
 #[test]
-fn bad_input_is_told_exactly() {
+fn bad_input_gets_exact_error() {
     let fleet = LocalFleet::start();
     let address = fleet.daemons[0].callers;
     for call in bad_calls() {
@@ -182,13 +184,13 @@
         assert_eq!(error["message"], call.message, "{}", call.name);
         assert_eq!(error["outcome"], "not_run", "{}", call.name);
     }
-    let raw = raw_call(address, b"nonsense\r\n\r\n");
+    let raw = send_raw(address, b"nonsense\r\n\r\n");
     assert!(raw.starts_with("HTTP/1.1 400"), "{raw:?}");
-    // After all that it serves as before.
+    // Valid requests are still served.
     assert_whole(&fleet.complete(0, "after bad input"), "after bad input");
 }
 
-fn raw_call(address: SocketAddr, bytes: &[u8]) -> String {
+fn send_raw(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).expect("it accepts");
     stream.write_all(bytes).expect("it reads");
     let mut answer = Vec::new();
@@ -197,7 +199,7 @@
 }
 
 #[test]
-fn whole_answer_without_streaming() {
+fn completion_without_streaming_is_whole() {
     let fleet = LocalFleet::start();
     let url = format!("http://{}/v1/completions", fleet.daemons[0].callers);
     let (status, text) = http_call("POST", &url, &[ORG, CLASS], GOOD).expect("an answer");
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet inside the test's process: real daemons and stand-ins on ports that the system picks.
+//! A fleet inside the test process: real daemons and stand-ins on ports that the system assigns.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "no test file uses all of it")]
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,17 +17,17 @@
 
 pub const SHARED_KEY: &str = "test-shared-key-0123456789";
 pub const OPERATOR_KEY: &str = "test-operator-key-0123456789";
-pub const PATIENCE: Duration = Duration::from_secs(60);
-const WAIT_LIMIT: Duration = Duration::from_secs(60);
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A runtime whose end does not wait for watches at the stand-in platform.
+/// A runtime that shuts down on drop without waiting for watches at the stand-in platform.
 pub struct OwnedRuntime(Option<Runtime>);
 
 impl std::ops::Deref for OwnedRuntime {
     type Target = Runtime;
 
     fn deref(&self) -> &Runtime {
-        self.0.as_ref().expect("it is there until dropped")
+        self.0.as_ref().expect("the runtime exists until it is dropped")
     }
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl LocalFleet {
-    /// Two domains, three hosts, four engines, configured and ready.
+    /// Starts two domains with three hosts and four engines, configured and ready.
     pub fn start() -> Self {
         let fleet = Self::unconfigured();
         let intent = fleet.deployment.intent(&fleet.addresses);
@@ -57,7 +57,7 @@
         fleet
     }
 
-    /// The same without a confirmed configuration.
+    /// Starts the same fleet without a confirmed configuration.
     pub fn unconfigured() -> Self {
         let runtime = OwnedRuntime(Some(Runtime::new().expect("a runtime starts")));
         let deployment = Deployment::new(DeploymentKind::Small);
@@ -78,32 +78,32 @@
         self.daemons.push(daemon);
     }
 
-    pub fn host(&self, place: usize) -> &Arc<HostState> {
-        &self.daemons[place].host
+    pub fn host(&self, host_index: usize) -> &Arc<HostState> {
+        &self.daemons[host_index].host
     }
 
     pub fn caller(&self) -> BenchCaller {
         BenchCaller::new(&self.deployment)
     }
 
-    pub fn plan(&self, place: usize, intent: &str) -> PlanDraft {
-        match self.host(place).plan(intent) {
+    pub fn plan(&self, host_index: usize, intent: &str) -> PlanDraft {
+        match self.host(host_index).plan(intent) {
             OperatorReply::Plan(plan) => plan,
             other => panic!("no plan: {other:?}"),
         }
     }
 
-    pub fn confirm_plan(&self, place: usize, intent: &str, plan: &PlanDraft) -> OperatorReply {
-        self.host(place).confirm(&ConfirmRequest {
+    pub fn confirm_plan(&self, host_index: usize, intent: &str, plan: &PlanDraft) -> OperatorReply {
+        self.host(host_index).confirm(&ConfirmRequest {
             intent: intent.to_owned(),
             base_version: plan.base_version,
             digest: plan.digest,
         })
     }
 
-    pub fn confirm(&self, place: usize, intent: &str) -> u64 {
-        let plan = self.plan(place, intent);
-        match self.confirm_plan(place, intent, &plan) {
+    pub fn confirm(&self, host_index: usize, intent: &str) -> u64 {
+        let plan = self.plan(host_index, intent);
+        match self.confirm_plan(host_index, intent, &plan) {
             OperatorReply::Confirmed(version) => version,
             other => panic!("not confirmed: {other:?}"),
         }
@@ -111,7 +111,7 @@
 
     pub fn wait_ready(&self, version: u64) {
         let servers = self.deployment.standins().engines.len();
-        wait_until("readiness", || {
+        wait_until("all servers to be ready", || {
             let statuses: Vec<_> = self.daemons.iter().map(|d| d.host.status()).collect();
             let ready: usize = statuses
                 .iter()
@@ -126,17 +126,17 @@
         assert!(self.set.switch(&command), "no target {target}");
     }
 
-    pub fn complete(&self, place: usize, prompt: &str) -> Completion {
+    pub fn complete(&self, host_index: usize, prompt: &str) -> Completion {
         let caller = self.caller();
-        let address = self.daemons[place].callers;
-        self.runtime.block_on(caller.complete(address, "hanbit", prompt, PATIENCE, None))
+        let address = self.daemons[host_index].callers;
+        self.runtime.block_on(caller.complete(address, "hanbit", prompt, CALL_TIMEOUT, None))
     }
 
-    pub fn book(&self, place: usize, key: &str, body: &str) -> (CallResult, String) {
+    pub fn book(&self, host_index: usize, key: &str, body: &str) -> (CallResult, String) {
         let caller = self.caller();
-        let address = self.daemons[place].callers;
+        let address = self.daemons[host_index].callers;
         let header = ("idempotency-key", key);
-        self.runtime.block_on(caller.book(address, "hanbit", header, body, PATIENCE))
+        self.runtime.block_on(caller.book(address, "hanbit", header, body, CALL_TIMEOUT))
     }
 
     pub fn runs_of(&self, body: &str) -> u64 {
@@ -144,7 +144,9 @@
     }
 
     pub fn wait_empty(&self) {
-        wait_until("empty engines", || self.set.stats().held.values().all(|held| *held == 0));
+        wait_until("the engines to be empty", || {
+            self.set.stats().held.values().all(|held| *held == 0)
+        });
     }
 }
 
@@ -172,17 +174,17 @@
     }
 }
 
-/// Waits for something that must come; the limit only ends a test that has failed.
-pub fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
-    let began = Instant::now();
-    while !done() {
-        assert!(began.elapsed() < WAIT_LIMIT, "{what} never came");
+/// Waits until a condition holds; fails the test if it does not within the timeout.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let started_at = Instant::now();
+    while !condition() {
+        assert!(started_at.elapsed() < WAIT_TIMEOUT, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Asserts that a completion was whole and exactly the expected answer.
-pub fn assert_whole(seen: &Completion, prompt: &str) {
-    assert_eq!(seen.result, CallResult::Whole, "reason {:?}", seen.reason);
-    assert_eq!(seen.tokens, answer_tokens(prompt_hash(prompt), 160));
+/// Asserts that a completion is whole and has exactly the expected tokens.
+pub fn assert_whole(completion: &Completion, prompt: &str) {
+    assert_eq!(completion.result, CallResult::Whole, "reason {:?}", completion.reason);
+    assert_eq!(completion.tokens, answer_tokens(prompt_hash(prompt), 160));
 }
--- a/tests/engine_answers.rs
+++ b/tests/engine_answers.rs
@@ -8,7 +8,7 @@
 mod common;
 mod engine_common;
 
-use common::{LocalFleet, PATIENCE};
+use common::{CALL_TIMEOUT, LocalFleet};
 use engine_common::{LinkedEngines, MAX_TOKENS, MODEL, prefill_call, read_all, runtime};
 use std::time::Duration;
 use tealcleat::bench::site::{DuplicateLink, DuplicatePlan};
@@ -75,7 +75,8 @@
     fn first_tokens(&self, prompt: &str) -> Vec<String> {
         let caller = self.fleet.caller();
         let address = self.fleet.daemons[0].callers;
-        let completion = caller.complete(address, "hanbit", prompt, PATIENCE, Some(FIRST_TOKENS));
+        let completion =
+            caller.complete(address, "hanbit", prompt, CALL_TIMEOUT, Some(FIRST_TOKENS));
         let seen = self.fleet.runtime.block_on(completion);
         assert_eq!(seen.status, 200, "{prompt}: {seen:?}");
         seen.tokens
--- a/tests/intents.rs
+++ b/tests/intents.rs
@@ -1,4 +1,4 @@
-//! Intents, plans and confirmations, with races, lost answers and outages.
+//! Intents, plans and confirmations, with concurrent operators, lost answers and store outages.
 
 mod common;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn racing_operators_one_wins_and_the_other_hears_why() {
+fn racing_confirmations_one_wins_and_other_is_stale() {
     let fleet = LocalFleet::start();
     let (ann, bo) = (admit("ann", "first"), admit("bo", "second"));
     let (ann_plan, bo_plan) = (fleet.plan(0, &ann), fleet.plan(2, &bo));
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn lost_answer_of_a_confirmation_is_read_back() {
+fn confirmation_with_lost_answer_is_read_back() {
     let fleet = LocalFleet::start();
     let intent = admit("ann", "late");
     let plan = fleet.plan(0, &intent);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn outage_settles_nothing_and_reverts_nothing() {
+fn confirmation_during_outage_is_unsettled_and_reverts_nothing() {
     let fleet = LocalFleet::start();
     let intent = admit("ann", "later");
     let plan = fleet.plan(0, &intent);
@@ -45,34 +45,34 @@
     assert!(matches!(answer, OperatorReply::Unsettled(_)), "{answer:?}");
     assert!(fleet.daemons.iter().all(|daemon| daemon.host.config().version == 1));
     fleet.fault("platform", FaultKind::Outage, false);
-    wait_until("the store's return", || {
+    wait_until("the store to return", || {
         matches!(fleet.confirm_plan(0, &intent, &plan), OperatorReply::Confirmed(2))
     });
     fleet.wait_ready(2);
 }
 
 #[test]
-fn fresh_host_without_the_store_asks_its_neighbours() {
+fn new_host_during_store_outage_fetches_config_from_peers() {
     let mut fleet = LocalFleet::start();
     fleet.fault("platform", FaultKind::Outage, true);
     fleet.add_host("pangyo-2", "pangyo");
-    let fresh = fleet.daemons.len() - 1;
-    wait_until("its readiness", || fleet.host(fresh).is_ready());
-    assert_eq!(fleet.host(fresh).config().version, 1);
-    // It takes over books of servers, which are rebuilt for a moment: a request in that moment is told
-    // so, and to come back. Every other end but a whole answer fails.
-    let mut seen = fleet.complete(fresh, "by the fresh host");
-    wait_until("its books", || {
-        if seen_rebuilding(&seen) {
-            seen = fleet.complete(fresh, "by the fresh host");
+    let new_host = fleet.daemons.len() - 1;
+    wait_until("the new host to become ready", || fleet.host(new_host).is_ready());
+    assert_eq!(fleet.host(new_host).config().version, 1);
+    // The new host acquires server ledgers and has to rebuild them. A request during that time is
+    // rejected as `rebuilding` and retried; any other outcome than a whole answer fails the test.
+    let mut completion = fleet.complete(new_host, "by the fresh host");
+    wait_until("its ledgers to be rebuilt", || {
+        if is_rebuilding(&completion) {
+            completion = fleet.complete(new_host, "by the fresh host");
         }
-        !seen_rebuilding(&seen)
+        !is_rebuilding(&completion)
     });
-    common::assert_whole(&seen, "by the fresh host");
+    common::assert_whole(&completion, "by the fresh host");
 }
 
-fn seen_rebuilding(seen: &Completion) -> bool {
-    seen.result == CallResult::NotRun && seen.reason == "rebuilding"
+fn is_rebuilding(completion: &Completion) -> bool {
+    completion.result == CallResult::NotRun && completion.reason == "rebuilding"
 }
 
 #[test]
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn plan_names_weights_waits_and_missing_servers() {
+fn plan_states_load_times_and_missing_servers() {
     let fleet = LocalFleet::start();
     let intent = r#"{"kind":"intent","operator":"ann",
         "models":[{"name":"inkmind","version":"2","weight_bytes":4000000000,
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,14 +1,15 @@
-//! Streams, cancels and stops while engines and hosts fail.
+//! Streams, cancellations and shutdowns while engines and hosts fail.
 
 mod common;
 
-use common::{LocalFleet, PATIENCE, assert_whole, wait_until};
+use common::{CALL_TIMEOUT, LocalFleet, assert_whole, wait_until};
 use std::time::Duration;
 use tealcleat::bench::{CallResult, FaultKind};
 
 const LONG_PROMPT: &str = "a recap that streams while its engine fails";
 
-/// Streams in the background; returns what the caller saw.
+/// Streams a completion in the background, injects `fault` after some tokens, and returns what the
+/// caller received.
 fn stream_during(
     fleet: &LocalFleet,
     prompt: &'static str,
@@ -18,11 +19,11 @@
     let address = fleet.daemons[0].callers;
     let running = fleet
         .runtime
-        .spawn(async move { caller.complete(address, "hanbit", prompt, PATIENCE, None).await });
-    wait_until("the stream's begin", || {
+        .spawn(async move { caller.complete(address, "hanbit", prompt, CALL_TIMEOUT, None).await });
+    wait_until("the stream to start", || {
         fleet.set.stats().held.iter().any(|(name, held)| name.contains("decode") && *held > 0)
     });
-    // Some tokens are out by then.
+    // Long enough for some tokens to be sent.
     std::thread::sleep(Duration::from_millis(150));
     fault();
     fleet.runtime.block_on(running).expect("the caller ends")
@@ -34,68 +35,69 @@
 }
 
 #[test]
-fn cut_stream_resumes_where_it_was() {
+fn cut_stream_resumes_at_next_token() {
     let fleet = LocalFleet::start();
     let names = decode_names(&fleet);
-    let seen = stream_during(&fleet, LONG_PROMPT, || {
+    let completion = stream_during(&fleet, LONG_PROMPT, || {
         names.iter().for_each(|name| fleet.fault(name, FaultKind::CutStreams, true));
     });
-    assert_whole(&seen, LONG_PROMPT);
+    assert_whole(&completion, LONG_PROMPT);
     assert!(fleet.host(0).metrics().counter("resumes") > 0);
     fleet.wait_empty();
 }
 
 #[test]
-fn crashed_decode_moves_from_the_next_token() {
+fn crashed_decode_fails_over_at_next_token() {
     let fleet = LocalFleet::start();
     let names = decode_names(&fleet);
-    let seen = stream_during(&fleet, LONG_PROMPT, || {
+    let completion = stream_during(&fleet, LONG_PROMPT, || {
         names.iter().for_each(|name| fleet.fault(name, FaultKind::Crash, true));
     });
-    assert_whole(&seen, LONG_PROMPT);
+    assert_whole(&completion, LONG_PROMPT);
     assert!(fleet.host(0).metrics().counter("retries") > 0);
     fleet.wait_empty();
 }
 
 #[test]
-fn frozen_decode_is_left_for_another() {
+fn frozen_decode_fails_over() {
     let fleet = LocalFleet::start();
     let busy = |fleet: &LocalFleet| {
         let held = fleet.set.stats().held;
         held.into_iter().find(|(name, held)| name.contains("decode") && *held > 0)
     };
     let mut frozen = None;
-    let seen = stream_during(&fleet, LONG_PROMPT, || {
+    let completion = stream_during(&fleet, LONG_PROMPT, || {
         frozen = busy(&fleet).map(|(name, _)| name);
         fleet.fault(frozen.as_deref().expect("one decodes"), FaultKind::Freeze, true);
     });
-    assert_whole(&seen, LONG_PROMPT);
+    assert_whole(&completion, LONG_PROMPT);
     fleet.fault(frozen.as_deref().expect("one decoded"), FaultKind::Freeze, false);
     fleet.wait_empty();
 }
 
 #[test]
-fn leaving_caller_frees_the_engines() {
+fn leaving_caller_releases_engines() {
     let fleet = LocalFleet::start();
     let caller = fleet.caller();
     let address = fleet.daemons[0].callers;
     for leave_after in [1, 5] {
-        let seen = fleet.runtime.block_on(caller.complete(
+        let completion = fleet.runtime.block_on(caller.complete(
             address,
             "hanbit",
             "left early",
-            PATIENCE,
+            CALL_TIMEOUT,
             Some(leave_after),
         ));
-        assert_eq!(seen.result, CallResult::Left);
+        assert_eq!(completion.result, CallResult::Left);
     }
-    // One leaves in silence, while it waits for its first token behind a frozen engine.
+    // One caller leaves while nothing is sent to it, since its prefill waits on a frozen engine.
     for name in ["gasan-prefill-1", "pangyo-prefill-1"] {
         fleet.fault(name, FaultKind::Freeze, true);
     }
     let short = Duration::from_millis(200);
-    let seen = fleet.runtime.block_on(caller.complete(address, "hanbit", "silence", short, None));
-    assert_eq!(seen.result, CallResult::Left);
+    let completion =
+        fleet.runtime.block_on(caller.complete(address, "hanbit", "silence", short, None));
+    assert_eq!(completion.result, CallResult::Left);
     for name in ["gasan-prefill-1", "pangyo-prefill-1"] {
         fleet.fault(name, FaultKind::Freeze, false);
     }
@@ -103,17 +105,17 @@
 }
 
 #[test]
-fn stalled_link_wastes_no_answer() {
+fn stalled_link_is_whole_or_unknown() {
     let fleet = LocalFleet::start();
     fleet.fault("gasan-decode-1", FaultKind::LinkStall, true);
-    for turn in 0..6 {
-        let prompt = format!("handoff {turn}");
-        let seen = fleet.complete(turn % 3, &prompt);
-        if seen.result == CallResult::Whole {
-            assert_whole(&seen, &prompt);
+    for round in 0..6 {
+        let prompt = format!("handoff {round}");
+        let completion = fleet.complete(round % 3, &prompt);
+        if completion.result == CallResult::Whole {
+            assert_whole(&completion, &prompt);
         } else {
-            // Its prefill ran, so it is never told "not run".
-            assert_eq!(seen.result, CallResult::Unknown, "{}", seen.reason);
+            // Its prefill ran, so the outcome must not be "not run".
+            assert_eq!(completion.result, CallResult::Unknown, "{}", completion.reason);
         }
     }
     fleet.fault("gasan-decode-1", FaultKind::LinkStall, false);
@@ -121,15 +123,15 @@
 }
 
 #[test]
-fn drain_cuts_off_no_stream() {
+fn drain_waits_for_streams() {
     let fleet = LocalFleet::start();
-    let seen = stream_during(&fleet, LONG_PROMPT, || fleet.host(0).begin_drain());
-    assert_whole(&seen, LONG_PROMPT);
+    let completion = stream_during(&fleet, LONG_PROMPT, || fleet.host(0).begin_drain());
+    assert_whole(&completion, LONG_PROMPT);
     assert!(fleet.runtime.block_on(fleet.host(0).finish_drain()));
     let refused = fleet.complete(0, "after the drain");
     assert_eq!((refused.result, refused.reason.as_str()), (CallResult::NotRun, "draining"));
-    // Its books went to the other host of the domain.
-    wait_until("the books' move", || {
+    // The other host of the domain acquired its ledgers.
+    wait_until("the ledgers to move", || {
         let status = fleet.host(1).status();
         status.servers.iter().filter(|server| server.ready).count() == 2
     });
@@ -143,19 +145,19 @@
         1,
         r#"{"kind":"intent","operator":"ann","leave":["gasan-prefill-1","gasan-decode-1"]}"#,
     );
-    wait_until("the version", || {
+    wait_until("all hosts to adopt the version", || {
         fleet.daemons.iter().all(|daemon| daemon.host.config().version >= version)
     });
     let before = fleet.set.stats().prefills.len();
-    for turn in 0..6 {
-        let prompt = format!("elsewhere {turn}");
-        assert_whole(&fleet.complete(turn % 3, &prompt), &prompt);
+    for round in 0..6 {
+        let prompt = format!("elsewhere {round}");
+        assert_whole(&fleet.complete(round % 3, &prompt), &prompt);
     }
     let stats = fleet.set.stats();
     assert_eq!(stats.prefills.len(), before + 6);
     assert_eq!(stats.held["gasan-decode-1"], 0);
-    // The engine itself was told to drain, under the fence of the configuration.
-    wait_until("the drain order", || fleet.set.is_draining("gasan-prefill-1"));
+    // The engine itself received the drain order, with the configuration's version as the fence.
+    wait_until("the drain order to arrive", || fleet.set.is_draining("gasan-prefill-1"));
 }
 
 #[test]
@@ -167,14 +169,21 @@
         r#"{"kind":"intent","operator":"ann","models":[{"name":"inkmind","version":"2",
             "adapters":["plain"],"kv_bytes_per_token":200000}]}"#,
     );
-    wait_until("the version", || {
+    wait_until("all hosts to adopt the version", || {
         fleet.daemons.iter().all(|daemon| daemon.host.config().version >= version)
     });
-    // Nothing holds the new version yet, and nobody is given the old one in its place.
-    let seen = fleet.complete(0, "too early");
-    assert_eq!((seen.result, seen.tokens.len()), (CallResult::NotRun, 0), "{}", seen.reason);
+    // No server has loaded the new version yet, and the old version must not answer instead.
+    let completion = fleet.complete(0, "too early");
+    assert_eq!(
+        (completion.result, completion.tokens.len()),
+        (CallResult::NotRun, 0),
+        "{}",
+        completion.reason
+    );
     fleet.fault("weights", FaultKind::Freeze, false);
-    wait_until("the new version", || fleet.complete(0, "loaded").result == CallResult::Whole);
+    wait_until("the new version to serve", || {
+        fleet.complete(0, "loaded").result == CallResult::Whole
+    });
 }
 
 #[test]
@@ -184,7 +193,7 @@
         0,
         r#"{"kind":"intent","operator":"ann","role":[{"server":"gasan-decode-1","role":"prefill"}]}"#,
     );
-    wait_until("the new role", || {
+    wait_until("the role to change", || {
         fleet.daemons.iter().all(|daemon| daemon.host.config().version >= version)
             && fleet.set.is_prefill("gasan-decode-1")
     });
