--- a/src/bin/tealcleat-load/app.rs
+++ b/src/bin/tealcleat-load/app.rs
@@ -1,11 +1,11 @@
-//! Turns arguments into one plain configuration.
+//! Command-line arguments.
 
 use bpaf::Bpaf;
 use std::path::PathBuf;
 use tealcleat::bench::{BenchFault, DeploymentKind};
 use tealcleat::placement::PlacementPolicy;
 
-/// What to measure.
+/// The experiment to run.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version, descr("The load and experiment tool of tealcleat"))]
 pub enum Config {
@@ -18,33 +18,33 @@
         #[bpaf(external)]
         measure: Measure,
     },
-    /// Run all policies on the same seed and print a line each, then a table
+    /// Run all policies with the same seed and print a line for each, then a table
     #[bpaf(command)]
     Compare {
-        /// Write a plot of the shares here
+        /// File to write a plot of the shares to
         #[bpaf(argument("SVG"))]
         plot: Option<PathBuf>,
         #[bpaf(external)]
         measure: Measure,
     },
-    /// Print the table of earlier runs' lines and draw their plot
+    /// Print a table of the lines of earlier runs and draw their plot
     #[bpaf(command)]
     Report {
-        /// Write the plot here
+        /// File to write the plot to
         #[bpaf(argument("SVG"))]
         plot: Option<PathBuf>,
-        /// What earlier runs printed; other lines are passed over
+        /// Output of earlier runs; other lines are skipped
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Measure control traffic, processor time, memory and store calls at several sizes
+    /// Measure control traffic, CPU time, memory and store calls at several fleet sizes
     #[bpaf(command)]
     Slopes {
-        /// Write the raw rows here
+        /// File to write the raw rows to
         #[bpaf(argument("TSV"), fallback(PathBuf::from("docs/slopes.tsv")))]
         rows: PathBuf,
     },
-    /// Drive the shipped machines through long seeded runs with faults
+    /// Run the shipped state machines through long seeded simulations with faults
     #[bpaf(command)]
     Soak {
         /// First seed
@@ -57,7 +57,7 @@
         #[bpaf(argument("N"), fallback(200_000))]
         steps: u64,
     },
-    /// Drive real daemons on the platform's stand-ins through faults from outside
+    /// Run real daemons against stand-ins of the platform while faults are injected from outside
     #[bpaf(command("site-soak"))]
     SiteSoak {
         /// First seed
@@ -66,69 +66,69 @@
         /// Seeds, one after the other
         #[bpaf(argument("N"), fallback(5))]
         seeds: u64,
-        /// How long faults are injected
+        /// How long faults are injected, in seconds
         #[bpaf(argument("S"), fallback(8))]
         seconds: u64,
-        /// Daemons
+        /// Number of daemons
         #[bpaf(argument("N"), fallback(3))]
         hosts: usize,
-        /// Failure domains over which they are spread
+        /// Number of failure domains over which the daemons are spread
         #[bpaf(argument("N"), fallback(1))]
         domains: usize,
-        /// Callers
+        /// Number of callers
         #[bpaf(argument("N"), fallback(12))]
         callers: usize,
-        /// Some requests crash the servers that run them
+        /// Send some requests that crash the servers that run them
         crashing: bool,
-        /// Daemons are suspended; one of their variables names a clock that stands still meanwhile
+        /// Suspend daemons; one of their variables names a clock that stops while they are suspended
         suspending: bool,
-        /// Servers name limits
+        /// Let servers announce limits
         limiting: bool,
-        /// Open connections fall silent, and hosts are asked what is in force
+        /// Silence open connections, and check which configuration is in force on the hosts
         silencing: bool,
-        /// Machines are cut off, and hosts are asked what is in force; one of the daemons' variables names a library
-        /// that lets their connections come from the address that TEALCLEAT_SOURCE names
+        /// Partition machines, and check which configuration is in force on the hosts; one of the daemons' variables
+        /// names a library that binds their connections to the address in TEALCLEAT_SOURCE
         cutting: bool,
-        /// Routes of the configuration that nobody asks for
+        /// Number of additional configured routes that receive no requests
         #[bpaf(argument("N"), fallback(0))]
         further_routes: usize,
-        /// A variable of the daemons' environment
+        /// An environment variable of the daemons
         #[bpaf(argument("NAME=VALUE"))]
         variable: Vec<String>,
     },
-    /// Measure what the daemon adds to a stream over a direct call
+    /// Measure the latency that the daemon adds to a stream, compared with a direct call
     #[bpaf(command)]
     Overhead {
-        /// Streams at once
+        /// Number of concurrent streams
         #[bpaf(argument("N"), fallback(200))]
         streams: usize,
     },
-    /// Show the whole path once, with an `ok:` or `FAIL:` line for each step
+    /// Exercise the complete path once and print an `ok:` or `FAIL:` line for each step
     #[bpaf(command)]
     Demo,
 }
 
-/// A run's parameters.
+/// Parameters of a run.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Measure {
     /// panelbridge, halvorsen or small
     #[bpaf(argument("NAME"), fallback(DeploymentKind::Panelbridge))]
     pub deployment: DeploymentKind,
-    /// Load as a part of the pools' capacity
+    /// Load as a fraction of the pools' capacity
     #[bpaf(argument("FACTOR"), fallback(1.0))]
     pub load: f64,
-    /// Seed of the mix
+    /// Seed of the request mix
     #[bpaf(argument("N"), fallback(1))]
     pub seed: u64,
     /// none, engine-frozen, host-killed, link-stalled or store-out
     #[bpaf(argument("NAME"), fallback(BenchFault::None))]
     pub fault: BenchFault,
-    /// How long calls are sent
+    /// How long calls are sent, in seconds
     #[bpaf(argument("S"), fallback(20))]
     pub seconds: u64,
 }
 
-/// Reads the command line; ends the process if it is wrong.
+/// Parses the command line; exits the process if it is invalid.
 pub fn read_arguments() -> Config {
     config().run()
 }
--- a/src/bin/tealcleat-load/controller.rs
+++ b/src/bin/tealcleat-load/controller.rs
@@ -1,4 +1,4 @@
-//! Runs one experiment.
+//! Runs the chosen experiment.
 
 use crate::app::{Config, Measure};
 use crate::{demo, overhead, site_soak, slopes, soak};
@@ -10,12 +10,12 @@
 use tealcleat::settings::SourceText;
 use tealcleat::{Error, Result};
 
-/// Runs the experiment; true if it held what it was to show.
+/// Runs the experiment and returns whether it succeeded.
 pub fn run(config: &Config) -> Result<bool> {
-    let programs = programs()?;
+    let programs = program_folder()?;
     match config {
         Config::Run { policy, measure } => {
-            let summary = run_load(&options(measure, *policy, &programs))?;
+            let summary = run_load(&load_options(measure, *policy, &programs))?;
             println!("{}", serde_json::to_string(&summary)?);
             Ok(true)
         }
@@ -65,21 +65,22 @@
 }
 
 fn read_variable(text: &str) -> Result<(String, String)> {
-    let parts = text.split_once('=').filter(|(name, _)| !name.is_empty());
-    let (name, value) =
-        parts.ok_or_else(|| Error::Refused(format!("{text:?} is not of the form NAME=VALUE")))?;
+    let variable = text.split_once('=').filter(|(name, _)| !name.is_empty());
+    let (name, value) = variable
+        .ok_or_else(|| Error::Refused(format!("{text:?} is not of the form NAME=VALUE")))?;
     Ok((name.to_owned(), value.to_owned()))
 }
 
-/// The folder of this program, where the others are.
-fn programs() -> Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    own.parent()
+/// Returns the folder of this program, which contains the other programs too.
+fn program_folder() -> Result<PathBuf> {
+    let executable = std::env::current_exe()?;
+    executable
+        .parent()
         .map(Path::to_path_buf)
-        .ok_or_else(|| Error::Refused("no program folder".to_owned()))
+        .ok_or_else(|| Error::Refused("the folder of this program is unknown".to_owned()))
 }
 
-fn options(measure: &Measure, policy: PlacementPolicy, programs: &Path) -> LoadOptions {
+fn load_options(measure: &Measure, policy: PlacementPolicy, programs: &Path) -> LoadOptions {
     LoadOptions {
         deployment: Deployment::new(measure.deployment),
         policy,
@@ -94,25 +95,25 @@
 fn compare(measure: &Measure, plot: Option<&Path>, programs: &Path) -> Result<bool> {
     let mut rows = Vec::new();
     for policy in PlacementPolicy::ALL {
-        let summary = run_load(&options(measure, policy, programs))?;
+        let summary = run_load(&load_options(measure, policy, programs))?;
         println!("{}", serde_json::to_string(&summary)?);
         rows.push(summary);
     }
-    show(&rows, plot)
+    print_and_plot(&rows, plot)
 }
 
 fn report(file: &Path, plot: Option<&Path>) -> Result<bool> {
     let source = SourceText::read(file)?;
     let mut rows = Vec::new();
-    for (place, line) in source.text.lines().enumerate().filter(|(_, l)| l.starts_with('{')) {
+    for (index, line) in source.text.lines().enumerate().filter(|(_, l)| l.starts_with('{')) {
         let row: LoadSummary = serde_json::from_str(line)
-            .map_err(|error| Error::Refused(format!("{}:{}: {error}", source.name, place + 1)))?;
+            .map_err(|error| Error::Refused(format!("{}:{}: {error}", source.name, index + 1)))?;
         rows.push(row);
     }
-    show(&rows, plot)
+    print_and_plot(&rows, plot)
 }
 
-fn show(rows: &[LoadSummary], plot: Option<&Path>) -> Result<bool> {
+fn print_and_plot(rows: &[LoadSummary], plot: Option<&Path>) -> Result<bool> {
     print_table(rows);
     if let (Some(path), Some(first)) = (plot, rows.first()) {
         let title = format!("{} at load {:.1}", first.deployment, first.load);
--- a/src/bin/tealcleat-load/site_soak.rs
+++ b/src/bin/tealcleat-load/site_soak.rs
@@ -1,12 +1,12 @@
-//! Soaks of real daemons on the platform's stand-ins.
+//! Soak tests of real daemons against stand-ins of the platform.
 
 use tealcleat::Result;
 use tealcleat::bench::soak::{SoakOptions, run_soak};
 
-/// Runs a soak on each seed and prints a line each; true if no promise broke.
+/// Runs a soak test with each seed and prints a line for each. Returns whether no guarantee was broken.
 pub fn run(options: &SoakOptions, seeds: u64) -> Result<bool> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-    let mut held = true;
+    let mut all_passed = true;
     for seed in options.seed..options.seed + seeds {
         let options = SoakOptions { seed, ..options.clone() };
         let report = runtime.block_on(run_soak(&options))?;
@@ -23,8 +23,8 @@
         for breach in &report.breaches {
             println!("  {}: {}", breach.promise, breach.detail);
         }
-        held &= report.breaches.is_empty();
+        all_passed &= report.breaches.is_empty();
     }
     runtime.shutdown_background();
-    Ok(held)
+    Ok(all_passed)
 }
--- a/src/bin/tealcleat-load/soak.rs
+++ b/src/bin/tealcleat-load/soak.rs
@@ -1,4 +1,4 @@
-//! Long seeded runs over the shipped machines.
+//! Long seeded simulations of the shipped state machines.
 
 use tealcleat::bench::worlds::{
     Sabotage, WorldReport, run_claim_world, run_limit_world, run_member_world, run_send_world,
@@ -16,9 +16,9 @@
     ("server-limits", run_send_world),
 ];
 
-/// Runs every world on each seed; true if no promise broke and no invariant was violated.
+/// Runs every simulation with each seed. Returns whether no guarantee was broken and no invariant was violated.
 pub fn run(first_seed: u64, seeds: u64, steps: u64) -> bool {
-    let mut held = true;
+    let mut all_passed = true;
     for (name, world) in WORLDS {
         for seed in first_seed..first_seed + seeds {
             let report = world(seed, steps, Sabotage::None);
@@ -34,10 +34,10 @@
             for line in &report.broken {
                 println!("  {line}");
             }
-            held &= report.broken.is_empty();
+            all_passed &= report.broken.is_empty();
         }
     }
     let violations = tealcleat::invariant::violations();
     println!("invariant_violations={violations}");
-    held && violations == 0
+    all_passed && violations == 0
 }
--- a/src/bin/tealcleat-standins/main.rs
+++ b/src/bin/tealcleat-standins/main.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for engines, services, the weight store and the platform.
+//! Stand-ins for engines, services, the weight store and the platform.
 
 mod app;
 
--- a/src/bin/tealcleat/app.rs
+++ b/src/bin/tealcleat/app.rs
@@ -1,13 +1,13 @@
-//! Turns arguments into one plain configuration.
+//! Command-line arguments.
 
 use bpaf::Bpaf;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Windows of an account: short enough to set a burst apart, long enough to hold several requests.
+/// Window length of an account: short enough to separate a burst, long enough for several requests.
 const DEFAULT_WINDOW_S: u32 = 10;
 
-/// What the operator wants.
+/// Arguments of the operators' tool.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(
     options,
@@ -36,7 +36,7 @@
     pub command: Command,
 }
 
-/// One command.
+/// A command of the operators' tool.
 #[derive(Debug, Clone, Bpaf)]
 pub enum Command {
     /// Check a settings file or an intent and report all findings
@@ -56,7 +56,7 @@
     /// Confirm the plan that was shown
     #[bpaf(command)]
     Confirm {
-        /// Version that the plan was made from
+        /// Configuration version on which the plan is based
         #[bpaf(argument("VERSION"))]
         base: u64,
         /// Digest of the plan
@@ -66,23 +66,23 @@
         #[bpaf(positional("INTENT"))]
         file: PathBuf,
     },
-    /// Show a host, the members it knows and the books it keeps
+    /// Show a host, the other hosts that it knows and the servers that it owns
     #[bpaf(command)]
     Status,
     /// Show the configuration in force
     #[bpaf(command)]
     Config,
-    /// Show metrics in Prometheus text
+    /// Show metrics in the Prometheus text format
     #[bpaf(command)]
     Metrics,
-    /// Explain a request by the spans of its trace, from all hosts
+    /// Explain a request by the spans of its trace from all hosts
     #[bpaf(command)]
     Explain {
         /// Trace id, as in the traceparent header
         #[bpaf(positional("TRACE"))]
         trace: String,
     },
-    /// Count from hosts' logs how requests ended, by when they came, route and cause
+    /// Count requests in the logs of hosts by arrival time, route and outcome
     #[bpaf(command)]
     Account {
         /// Length of a window in seconds
@@ -92,12 +92,12 @@
         #[bpaf(positional("LOG"), some("name at least one log file"))]
         files: Vec<PathBuf>,
     },
-    /// Stop a host without cutting off a request
+    /// Stop a host without interrupting requests
     #[bpaf(command)]
     Drain,
 }
 
-/// Reads the command line; ends the process with 2 if it is wrong.
+/// Parses the command line; exits the process with code 2 if it is invalid.
 pub fn read_arguments() -> Config {
     match config().run_inner(bpaf::Args::current_args()) {
         Ok(config) => config,
--- a/src/bin/tealcleat/controller.rs
+++ b/src/bin/tealcleat/controller.rs
@@ -1,4 +1,4 @@
-//! Runs one command.
+//! Runs the chosen command.
 
 use crate::app::{Command, Config};
 use crate::output;
@@ -12,16 +12,16 @@
 use tealcleat::telemetry::SpanRecord;
 use tealcleat::{Error, Result};
 
-/// How the process ends.
+/// Exit status of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// Done.
+    /// The command succeeded.
     Done = 0,
-    /// Failed.
+    /// The command failed.
     Failed = 1,
-    /// Refused, with reasons.
+    /// The intent or plan was refused, with reasons.
     Refused = 3,
-    /// The store did not settle it.
+    /// It is unknown whether the store has applied the confirmed change.
     Unsettled = 4,
 }
 
@@ -31,40 +31,42 @@
         Command::Check { file } => check(file),
         Command::Plan { file } => {
             let source = SourceText::read(file)?;
-            // Checked here first: then findings show the place in the file.
+            // A check before the request reports findings with their location in the file.
             check_text(&source)?;
-            let text = ask(config, "POST", "/plan", &source.text)?;
-            answer(config, &text, file)
+            let text = send_request(config, "POST", "/plan", &source.text)?;
+            report_reply(config, &text, file)
         }
         Command::Confirm { base, digest, file } => {
             let source = SourceText::read(file)?;
             check_text(&source)?;
             let digest = u64::from_str_radix(digest, 16)
                 .map_err(|error| Error::Refused(format!("--digest: {error}")))?;
-            let confirm = ConfirmRequest { intent: source.text, base_version: *base, digest };
-            let text = ask(config, "POST", "/confirm", &serde_json::to_string(&confirm)?)?;
-            answer(config, &text, file)
+            let request = ConfirmRequest { intent: source.text, base_version: *base, digest };
+            let text = send_request(config, "POST", "/confirm", &serde_json::to_string(&request)?)?;
+            report_reply(config, &text, file)
         }
-        Command::Status => show(config, "GET", "/status", |text| {
+        Command::Status => request_and_print(config, "GET", "/status", |text| {
             output::print_status(&serde_json::from_str::<HostStatus>(text)?);
             Ok(())
         }),
         Command::Config => {
-            println!("{}", ask(config, "GET", "/config", "")?);
+            println!("{}", send_request(config, "GET", "/config", "")?);
             Ok(ExitStatus::Done)
         }
         Command::Metrics => {
-            print!("{}", ask(config, "GET", "/metrics", "")?);
+            print!("{}", send_request(config, "GET", "/metrics", "")?);
             Ok(ExitStatus::Done)
         }
-        Command::Explain { trace } => show(config, "GET", &format!("/trace/{trace}"), |text| {
-            output::print_spans(&serde_json::from_str::<Vec<SpanRecord>>(text)?);
-            Ok(())
-        }),
+        Command::Explain { trace } => {
+            request_and_print(config, "GET", &format!("/trace/{trace}"), |text| {
+                output::print_spans(&serde_json::from_str::<Vec<SpanRecord>>(text)?);
+                Ok(())
+            })
+        }
         Command::Account { window, files } => account(*window, files),
-        Command::Drain => show(config, "POST", "/drain", |text| {
+        Command::Drain => request_and_print(config, "POST", "/drain", |text| {
             let status: HostStatus = serde_json::from_str(text)?;
-            println!("{} drains; {} requests in flight", status.host, status.in_flight);
+            println!("{} is draining; {} requests in flight", status.host, status.in_flight);
             Ok(())
         }),
     }
@@ -77,21 +79,21 @@
     Ok(ExitStatus::Done)
 }
 
-/// Reads logs line by line; lines that are none of a host's own are counted and passed over.
+/// Reads logs line by line; lines that no host wrote are skipped, but counted.
 fn account(window: u32, files: &[PathBuf]) -> Result<ExitStatus> {
     let mut account = CallAccount::new(window);
-    let (mut lines, mut known) = (0_u64, 0_u64);
+    let (mut line_count, mut record_count) = (0_u64, 0_u64);
     for file in files {
         for line in open_log(file)?.lines() {
-            lines += 1;
+            line_count += 1;
             if let Ok(record) = LogRecord::try_from(line?.as_str()) {
-                known += 1;
+                record_count += 1;
                 account.add_record(&record);
             }
         }
     }
     output::print_account(&account.rows());
-    println!("{known} of {lines} lines were log lines of hosts");
+    println!("{record_count} of {line_count} lines were log lines of hosts");
     Ok(ExitStatus::Done)
 }
 
@@ -99,13 +101,13 @@
     if file.as_os_str() == "-" {
         return Ok(Box::new(std::io::stdin().lock()));
     }
-    let named = |error: std::io::Error| {
+    let add_path = |error: std::io::Error| {
         Error::Io(std::io::Error::new(error.kind(), format!("{}: {error}", file.display())))
     };
-    Ok(Box::new(BufReader::new(File::open(file).map_err(named)?)))
+    Ok(Box::new(BufReader::new(File::open(file).map_err(add_path)?)))
 }
 
-fn ask(config: &Config, method: &str, path: &str, body: &str) -> Result<String> {
+fn send_request(config: &Config, method: &str, path: &str, body: &str) -> Result<String> {
     let address = config.at.ok_or_else(|| Error::Refused("--at IP:PORT is missing".to_owned()))?;
     let key = config.key.as_deref().ok_or_else(|| {
         Error::Refused("the operator key is missing: set TEALCLEAT_OPERATOR_KEY".to_owned())
@@ -113,13 +115,13 @@
     operator_call(address, key, method, path, body)
 }
 
-fn show(
+fn request_and_print(
     config: &Config,
     method: &str,
     path: &str,
     print: impl FnOnce(&str) -> Result<()>,
 ) -> Result<ExitStatus> {
-    let text = ask(config, method, path, "")?;
+    let text = send_request(config, method, path, "")?;
     if config.json {
         println!("{text}");
     } else {
@@ -128,14 +130,14 @@
     Ok(ExitStatus::Done)
 }
 
-fn answer(config: &Config, text: &str, file: &Path) -> Result<ExitStatus> {
-    let answer: OperatorReply = serde_json::from_str(text)?;
+fn report_reply(config: &Config, text: &str, file: &Path) -> Result<ExitStatus> {
+    let reply: OperatorReply = serde_json::from_str(text)?;
     if config.json {
         println!("{text}");
     } else {
-        output::print_answer(&answer, file);
+        output::print_reply(&reply, file);
     }
-    Ok(match answer {
+    Ok(match reply {
         OperatorReply::Plan(_) | OperatorReply::Confirmed(_) => ExitStatus::Done,
         OperatorReply::Findings(_) | OperatorReply::Stale(_) => ExitStatus::Refused,
         OperatorReply::Unsettled(_) => ExitStatus::Unsettled,
--- a/src/bin/tealcleat/output.rs
+++ b/src/bin/tealcleat/output.rs
@@ -1,4 +1,4 @@
-//! Prints results for people.
+//! Prints results in human-readable form.
 
 use std::path::Path;
 use tealcleat::Error;
@@ -6,7 +6,7 @@
 use tealcleat::host::{HostStatus, OperatorReply};
 use tealcleat::telemetry::SpanRecord;
 
-/// Prints an error; findings with their place in the text.
+/// Prints an error; findings are printed with their location in the text.
 pub fn print_error(error: &Error) {
     match error {
         Error::Settings(findings) => {
@@ -19,7 +19,7 @@
     }
 }
 
-/// Prints an account, a line for each window, route and way to end.
+/// Prints an account, one line for each window, route and outcome.
 pub fn print_account(rows: &[AccountRow]) {
     println!("{:>8}  {:<24}  {:<32}  requests", "from s", "route", "ended");
     for row in rows {
@@ -28,16 +28,16 @@
     }
 }
 
-/// Prints a plan or what became of a confirmation.
-pub fn print_answer(answer: &OperatorReply, file: &Path) {
-    match answer {
+/// Prints a plan or the result of a confirmation.
+pub fn print_reply(reply: &OperatorReply, file: &Path) {
+    match reply {
         OperatorReply::Plan(plan) => {
             println!("plan from version {} for {}:", plan.base_version, plan.operator);
-            for (place, step) in plan.steps.iter().enumerate() {
-                println!("  {}. {}", place + 1, step.text);
+            for (index, step) in plan.steps.iter().enumerate() {
+                println!("  {}. {}", index + 1, step.text);
                 if step.weight_store_seconds > 0.0 {
                     println!(
-                        "     pulls weights for {:.1} s, beginning after {:.1} s",
+                        "     pulls weights for {:.1} s, starting after {:.1} s",
                         step.weight_store_seconds, step.starts_after_seconds
                     );
                 }
@@ -69,13 +69,13 @@
         }
         OperatorReply::Unsettled(cause) => {
             eprintln!(
-                "[tealcleat error]: not settled ({cause}); look at the status before trying again"
+                "[tealcleat error]: not settled ({cause}); check the status before trying again"
             );
         }
     }
 }
 
-/// Prints a host's status.
+/// Prints the status of a host.
 pub fn print_status(status: &HostStatus) {
     println!(
         "{} in {}: version {}, {}, {} in flight, {} invariants violated",
@@ -87,12 +87,12 @@
         status.invariant_violations
     );
     for member in &status.members {
-        let place = if member.same_domain { "same domain" } else { "other domain" };
-        println!("  member {} {:?} ({place})", member.address, member.state);
+        let domain = if member.same_domain { "same domain" } else { "other domain" };
+        println!("  member {} {:?} ({domain})", member.address, member.state);
     }
     for server in &status.servers {
         println!(
-            "  keeps the book of {} ({}): {}, {} slots used, {} waiting{}",
+            "  owns {} ({}): {}, {} slots used, {} waiting{}",
             server.name,
             server.role,
             if server.ready { "ready" } else { "rebuilding" },
@@ -103,7 +103,7 @@
     }
 }
 
-/// Prints the spans of a trace, each indented under its cause.
+/// Prints the spans of a trace, one line for each, with start times relative to the first span.
 pub fn print_spans(spans: &[SpanRecord]) {
     let Some(first) = spans.first() else {
         println!("no host remembers this trace");
--- a/src/bin/tealcleatd/app.rs
+++ b/src/bin/tealcleatd/app.rs
@@ -1,4 +1,4 @@
-//! Turns arguments into one plain configuration and runs the daemon until it is told to stop.
+//! Parses the command line and runs the daemon until it is stopped.
 
 use bpaf::Bpaf;
 use std::path::PathBuf;
@@ -10,11 +10,11 @@
 use tealcleat::{Error, Result};
 use tokio::signal::unix::{SignalKind, signal};
 
-const WORKERS: usize = 2;
-const DRAIN_LOOK: Duration = Duration::from_millis(100);
-/// The settings file may change without a signal; reading it costs a few microseconds.
-const SETTINGS_LOOK: Duration = Duration::from_secs(2);
-/// Where the users' platform says which settings file to read.
+const WORKER_THREADS: usize = 2;
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The settings file may change without a signal, so it is polled; reading it takes a few microseconds.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
+/// Environment variable in which the users' platform names the settings file.
 const SETTINGS_VARIABLE: &str = "TEALCLEAT_NODE_FILE";
 
 /// The entry-host daemon of tealcleat
@@ -27,7 +27,7 @@
     pub settings: Option<PathBuf>,
 }
 
-/// Reads the command line; ends the process if it is wrong.
+/// Parses the command line; exits the process if it is invalid.
 pub fn read_arguments() -> Config {
     config().run()
 }
@@ -53,8 +53,10 @@
 
 fn run_host(settings: HostSettings) -> Result<()> {
     start_logs(&settings.host, settings.log_level)?;
-    let runtime =
-        tokio::runtime::Builder::new_multi_thread().worker_threads(WORKERS).enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(WORKER_THREADS)
+        .enable_all()
+        .build()?;
     let result = runtime.block_on(async {
         let daemon = start_daemon(settings).await?;
         wait_for_stop(&daemon).await?;
@@ -62,12 +64,12 @@
         daemon.host.finish_drain().await;
         Ok(())
     });
-    // A watch at the store may wait for long; it must not hold up the end.
+    // A pending watch request to the store may take long and must not delay the exit.
     runtime.shutdown_background();
     result
 }
 
-/// Its hosts have a quarter of a core: one thread does everything.
+/// Runs a gateway on a single thread, because its hosts have a quarter of a core.
 fn run_gateway(settings: GatewaySettings, file: SettingsFile) -> Result<()> {
     start_logs(&settings.host, settings.log_level)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -77,11 +79,11 @@
         let mut interrupt = signal(SignalKind::interrupt())?;
         let gateway = start_gateway(settings).await?;
         let mut file = file;
-        let mut look = tokio::time::interval(SETTINGS_LOOK);
+        let mut settings_poll = tokio::time::interval(SETTINGS_POLL_INTERVAL);
         loop {
             tokio::select! {
                 _ = hangup.recv() => file.reload(&gateway.host),
-                _ = look.tick() => file.reload(&gateway.host),
+                _ = settings_poll.tick() => file.reload(&gateway.host),
                 _ = terminate.recv() => break,
                 _ = interrupt.recv() => break,
             }
@@ -91,14 +93,14 @@
     })
 }
 
-/// The settings file, as it was last read.
+/// The settings file, with its text as last read.
 struct SettingsFile {
     path: PathBuf,
     text: String,
 }
 
 impl SettingsFile {
-    /// Puts the file in force if it has changed; a wrong one leaves the settings as they are.
+    /// Applies the settings file if it has changed; an invalid file leaves the settings unchanged.
     fn reload(&mut self, host: &GatewayHost) {
         let source = match SourceText::read(&self.path) {
             Ok(source) => source,
@@ -126,15 +128,15 @@
 async fn wait_for_stop(daemon: &Daemon) -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    let drained = async {
+    let draining = async {
         while !daemon.host.is_draining() {
-            tokio::time::sleep(DRAIN_LOOK).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     };
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
-        () = drained => {}
+        () = draining => {}
     }
     Ok(())
 }
--- a/src/bin/tealcleatd/main.rs
+++ b/src/bin/tealcleatd/main.rs
@@ -1,4 +1,4 @@
-//! The daemon that runs alike on every entry host.
+//! The daemon that runs on every entry host.
 
 mod app;
 
--- a/tests/accounts.rs
+++ b/tests/accounts.rs
@@ -1,4 +1,4 @@
-//! The account that operators make from the hosts' log lines.
+//! Tests the account of requests that the operators' tool makes from the log lines of hosts.
 
 use rstest::rstest;
 use std::io::Write;
@@ -34,8 +34,8 @@
 #[case::empty("")]
 #[case::no_time("level=info host=a event=started")]
 #[case::no_event("time=1.0 level=info host=a")]
-#[case::time_no_number("time=soon host=a event=started")]
-fn log_record_refuses_other_lines(#[case] line: &str) {
+#[case::invalid_time("time=soon host=a event=started")]
+fn log_record_rejects_other_lines(#[case] line: &str) {
     assert!(LogRecord::try_from(line).is_err());
 }
 
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn call_account_by_when_a_request_came() {
+fn call_account_counts_by_arrival_time() {
     let rows = account(&[
         "time=10.0 host=a event=started",
         "time=13.9 host=a event=call_ended request=1 route=r outcome=not_run cause=no_memory \
@@ -108,9 +108,9 @@
     assert_eq!(rows, [(0, "r".to_owned(), refused(), 1), (4, "r".to_owned(), refused(), 2)]);
 }
 
-/// A run that its host began and did not end was lost with it, whether the host came back or not.
+/// A run that its host opened but did not end counts as lost, whether or not the host restarted.
 #[test]
-fn call_account_counts_runs_lost_with_their_host() {
+fn call_account_counts_runs_lost_with_host() {
     let rows = account(&[
         "time=10.0 host=a event=run_opened request=1 route=r server=s age_ms=300",
         "time=10.0 host=a event=run_opened request=2 route=r server=s age_ms=300",
@@ -137,16 +137,21 @@
         .expect("the tool starts");
     let text = "time=1.0 level=info host=a event=call_ended request=1 route=r outcome=not_run \
                 cause=no_memory status=503 took_ms=60\nsomething else\n";
-    child.stdin.take().expect("a pipe").write_all(text.as_bytes()).expect("it reads");
-    let output = child.wait_with_output().expect("it ends");
+    child
+        .stdin
+        .take()
+        .expect("a pipe")
+        .write_all(text.as_bytes())
+        .expect("the tool reads its input");
+    let output = child.wait_with_output().expect("the tool exits");
     assert!(output.status.success());
-    let shown = String::from_utf8(output.stdout).expect("text");
-    assert!(shown.contains("refused: no_memory"), "{shown}");
-    assert!(shown.contains("1 of 2 lines"), "{shown}");
+    let stdout = String::from_utf8(output.stdout).expect("valid UTF-8");
+    assert!(stdout.contains("refused: no_memory"), "{stdout}");
+    assert!(stdout.contains("1 of 2 lines"), "{stdout}");
 }
 
 #[test]
-fn account_command_names_a_missing_file() {
+fn account_command_names_missing_file() {
     let output = Command::new(env!("CARGO_BIN_EXE_tealcleat"))
         .args(["account", "no-such.log"])
         .output()
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Real processes that are killed, paused and restarted, and the programs as users run them.
+//! Tests with real processes that are killed, suspended and restarted, and of the command-line programs.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -10,18 +10,18 @@
 use tealcleat::placement::PlacementPolicy;
 use tokio::runtime::Runtime;
 
-const PATIENCE: Duration = Duration::from_secs(60);
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-fn programs() -> PathBuf {
+fn program_folder() -> PathBuf {
     let daemon = Path::new(env!("CARGO_BIN_EXE_tealcleatd"));
-    daemon.parent().expect("a folder").to_path_buf()
+    daemon.parent().expect("a parent folder").to_path_buf()
 }
 
-fn fleet() -> Fleet {
+fn start_fleet() -> Fleet {
     Fleet::start_configured(FleetOptions {
         deployment: Deployment::new(DeploymentKind::Small),
         policy: PlacementPolicy::Reserve,
-        programs: programs(),
+        programs: program_folder(),
         log_level: "info".to_owned(),
     })
     .expect("the fleet starts")
@@ -31,12 +31,12 @@
     BenchCaller::new(&Deployment::new(DeploymentKind::Small))
 }
 
-fn wait_empty(fleet: &Fleet) {
+fn wait_until_empty(fleet: &Fleet) {
     fleet
         .wait_until("empty engines", || {
             fleet.stats().is_ok_and(|stats| stats.held.values().all(|held| *held == 0))
         })
-        .expect("the engines empty");
+        .expect("the engines hold no attempts");
 }
 
 fn assert_serves(runtime: &Runtime, fleet: &Fleet, host: usize, prompt: &str) {
@@ -44,16 +44,16 @@
     fleet
         .wait_until("service", || {
             let caller = caller();
-            let call = caller.complete(address, "hanbit", prompt, PATIENCE, None);
-            let seen = runtime.block_on(call);
-            seen.result == CallResult::Whole
-                && seen.tokens == answer_tokens(prompt_hash(prompt), 160)
+            let call = caller.complete(address, "hanbit", prompt, CALL_TIMEOUT, None);
+            let completion = runtime.block_on(call);
+            completion.result == CallResult::Whole
+                && completion.tokens == answer_tokens(prompt_hash(prompt), 160)
         })
-        .expect("it serves");
+        .expect("the host serves");
 }
 
-fn signal(fleet: &Fleet, host: usize, name: &str) {
-    let process = fleet.process_id(host).expect("it runs").to_string();
+fn send_signal(fleet: &Fleet, host: usize, name: &str) {
+    let process = fleet.process_id(host).expect("the daemon is running").to_string();
     let status = Command::new("kill").args([name, &process]).status().expect("kill runs");
     assert!(status.success());
 }
@@ -61,14 +61,15 @@
 #[test]
 fn killed_host_leaves_no_engine_memory_held() {
     let runtime = Runtime::new().expect("a runtime");
-    let mut fleet = fleet();
+    let mut fleet = start_fleet();
     let address = fleet.hosts[0].callers;
     let streams: Vec<_> = (0..6)
-        .map(|turn| {
+        .map(|index| {
             runtime.spawn(async move {
-                let prompt = format!("cut off {turn}");
-                let seen = caller().complete(address, "hanbit", &prompt, PATIENCE, None).await;
-                (prompt, seen)
+                let prompt = format!("cut off {index}");
+                let completion =
+                    caller().complete(address, "hanbit", &prompt, CALL_TIMEOUT, None).await;
+                (prompt, completion)
             })
         })
         .collect();
@@ -76,97 +77,97 @@
         .wait_until("running streams", || {
             fleet.stats().is_ok_and(|stats| stats.held.values().sum::<usize>() >= 4)
         })
-        .expect("they run");
+        .expect("the streams are running");
     fleet.kill(0);
     for stream in streams {
-        let (prompt, seen) = runtime.block_on(stream).expect("the caller ends");
-        // What was written is the beginning of the right answer, and nothing else came.
-        assert!(answer_tokens(prompt_hash(&prompt), 160).starts_with(&seen.tokens));
+        let (prompt, completion) = runtime.block_on(stream).expect("the caller ends");
+        // The tokens received so far are a prefix of the correct answer.
+        assert!(answer_tokens(prompt_hash(&prompt), 160).starts_with(&completion.tokens));
     }
-    wait_empty(&fleet);
+    wait_until_empty(&fleet);
     assert_serves(&runtime, &fleet, 1, "its domain serves on");
-    fleet.restart(0).expect("it starts again");
+    fleet.restart(0).expect("the daemon restarts");
     assert_serves(&runtime, &fleet, 0, "and so does its next life");
 }
 
 #[test]
-fn paused_claimant_runs_its_claim_once() {
+fn suspended_claimant_runs_its_claim_once() {
     let runtime = Runtime::new().expect("a runtime");
-    let fleet = fleet();
+    let fleet = start_fleet();
     let (body, header) = ("{\"paused\":1}", ("idempotency-key", "paused"));
-    let book = |host: usize, patience: Duration| {
+    let book = |host: usize, timeout: Duration| {
         let address = fleet.hosts[host].callers;
         let caller = caller();
-        runtime.block_on(caller.book(address, "hanbit", header, body, patience))
+        runtime.block_on(caller.book(address, "hanbit", header, body, timeout))
     };
     fleet.fault("reader-app", tealcleat::bench::FaultKind::Freeze, true).expect("frozen");
     let address = fleet.hosts[0].callers;
-    let leaves = runtime
-        .spawn(async move { caller().book(address, "hanbit", header, body, PATIENCE).await });
-    // A caller that left before the service had the request would leave a claim without a run.
+    let aborted_call = runtime
+        .spawn(async move { caller().book(address, "hanbit", header, body, CALL_TIMEOUT).await });
+    // If the caller disconnected before the service received the request, the claim would have no run.
     fleet
         .wait_until("the request at the service", || {
             fleet.stats().is_ok_and(|stats| stats.received.get(body) == Some(&1))
         })
-        .expect("it arrives");
-    leaves.abort();
-    signal(&fleet, 0, "-STOP");
-    // Whoever is asked cannot know: never "not run", and never a second run.
+        .expect("the service receives the request");
+    aborted_call.abort();
+    send_signal(&fleet, 0, "-STOP");
+    // No other host can know whether the request ran: it must neither report "not run" nor run the request again.
     for host in [1, 2] {
-        let (result, text) = book(host, PATIENCE);
+        let (result, text) = book(host, CALL_TIMEOUT);
         assert!(matches!(result, CallResult::Unknown | CallResult::Elsewhere), "{text}");
     }
-    fleet.fault("reader-app", tealcleat::bench::FaultKind::Freeze, false).expect("thawed");
-    signal(&fleet, 0, "-CONT");
+    fleet.fault("reader-app", tealcleat::bench::FaultKind::Freeze, false).expect("unfrozen");
+    send_signal(&fleet, 0, "-CONT");
     fleet
         .wait_until("one answer", || {
-            let (result, _) = book(1, PATIENCE);
+            let (result, _) = book(1, CALL_TIMEOUT);
             result == CallResult::Whole
         })
-        .expect("the answer was kept");
+        .expect("the answer is stored");
     assert_eq!(fleet.stats().expect("stats").runs[body], 1);
 }
 
 #[test]
-fn paused_owner_is_replaced_and_comes_back() {
+fn suspended_owner_is_replaced_and_resumes() {
     let runtime = Runtime::new().expect("a runtime");
-    let fleet = fleet();
+    let fleet = start_fleet();
     for host in [0, 1] {
-        signal(&fleet, host, "-STOP");
+        send_signal(&fleet, host, "-STOP");
         assert_serves(&runtime, &fleet, 1 - host, "while the other one is paused");
-        signal(&fleet, host, "-CONT");
+        send_signal(&fleet, host, "-CONT");
         assert_serves(&runtime, &fleet, host, "after the pause");
     }
-    wait_empty(&fleet);
+    wait_until_empty(&fleet);
 }
 
 #[test]
-fn terminated_host_ends_well_and_cuts_off_nothing() {
+fn terminated_host_completes_its_streams() {
     let runtime = Runtime::new().expect("a runtime");
-    let mut fleet = fleet();
+    let mut fleet = start_fleet();
     let address = fleet.hosts[0].callers;
     let stream = runtime.spawn(async move {
-        caller().complete(address, "hanbit", "planned stop", PATIENCE, None).await
+        caller().complete(address, "hanbit", "planned stop", CALL_TIMEOUT, None).await
     });
     fleet
         .wait_until("a running stream", || fleet.status(0).is_ok_and(|status| status.in_flight > 0))
         .expect("it runs");
-    signal(&fleet, 0, "-TERM");
-    let seen = runtime.block_on(stream).expect("the caller ends");
-    assert_eq!(seen.result, CallResult::Whole, "{}", seen.reason);
+    send_signal(&fleet, 0, "-TERM");
+    let completion = runtime.block_on(stream).expect("the caller ends");
+    assert_eq!(completion.result, CallResult::Whole, "{}", completion.reason);
     assert!(fleet.wait_for_exit(0), "the daemon ends with success");
 }
 
 #[test]
-fn domain_without_hosts_leaves_the_others_serving() {
+fn domain_without_hosts_does_not_affect_others() {
     let runtime = Runtime::new().expect("a runtime");
-    let mut fleet = fleet();
+    let mut fleet = start_fleet();
     fleet.kill(0);
     fleet.kill(1);
     assert_serves(&runtime, &fleet, 2, "the other domain serves");
 }
 
-fn tool(arguments: &[&str]) -> Output {
+fn run_tool(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_tealcleat"))
         .args(arguments)
         .env("NO_COLOR", "1")
@@ -177,55 +178,55 @@
 
 #[test]
 fn tool_checks_plans_confirms_and_explains() {
-    let fleet = fleet();
+    let fleet = start_fleet();
     let at = fleet.hosts[0].operators.to_string();
     let key = fleet.operator_key();
-    let run = |arguments: &[&str]| tool(&[&["--at", &at, "--key", key], arguments].concat());
+    let run = |arguments: &[&str]| run_tool(&[&["--at", &at, "--key", key], arguments].concat());
     let intent = fleet.folder().join("admit.json");
     let text = r#"{ "kind": "intent", "operator": "ann", /* one more */
         "organisations": [{ "name": "late" }] }"#;
     std::fs::write(&intent, text).expect("written");
     let file = intent.to_str().expect("a path");
     let planned = run(&["plan", file]);
-    let shown = String::from_utf8_lossy(&planned.stdout).into_owned();
-    assert!(shown.contains("1. admit organisation late"), "{shown}");
-    let digest = shown.rsplit("--digest ").next().expect("a digest").trim().to_owned();
+    let stdout = String::from_utf8_lossy(&planned.stdout).into_owned();
+    assert!(stdout.contains("1. admit organisation late"), "{stdout}");
+    let digest = stdout.rsplit("--digest ").next().expect("a digest").trim().to_owned();
     let confirm = ["confirm", "--base", "1", "--digest", &digest, file];
     assert_eq!(run(&confirm).status.code(), Some(0));
     let stale = run(&confirm);
     assert_eq!(stale.status.code(), Some(3));
-    let told = String::from_utf8_lossy(&stale.stderr).into_owned();
-    assert!(told.contains("v2 by ann: admit organisation late"), "{told}");
+    let stderr = String::from_utf8_lossy(&stale.stderr).into_owned();
+    assert!(stderr.contains("v2 by ann: admit organisation late"), "{stderr}");
     let status = run(&["--json", "status"]);
     assert!(String::from_utf8_lossy(&status.stdout).contains("\"config_version\":2"));
     let missing = run(&["explain", "0000000000000000000000000000000f"]);
     assert!(String::from_utf8_lossy(&missing.stdout).contains("no host remembers this trace"));
-    assert_eq!(tool(&["--at", &at, "status"]).status.code(), Some(1));
-    assert_eq!(tool(&["fly"]).status.code(), Some(2));
+    assert_eq!(run_tool(&["--at", &at, "status"]).status.code(), Some(1));
+    assert_eq!(run_tool(&["fly"]).status.code(), Some(2));
 }
 
 #[test]
-fn tool_reports_all_findings_with_their_place() {
+fn tool_reports_all_findings_with_locations() {
     let file = std::env::temp_dir().join(format!("tealcleat-bad-{}.json", std::process::id()));
     std::fs::write(&file, "{\n  \"kind\": \"host\",\n  \"hots\": \"a\"\n}\n").expect("written");
-    let output = tool(&["check", file.to_str().expect("a path")]);
+    let output = run_tool(&["check", file.to_str().expect("a path")]);
     std::fs::remove_file(&file).expect("removed");
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(1));
     let expected = format!(
         "[tealcleat error]: {}:3:3: unknown key \"hots\"; did you mean \"host\"?",
         file.display()
     );
-    assert!(told.contains(&expected), "{told}");
-    assert!(told.contains(":1:1: shared_key is missing"), "{told}");
+    assert!(stderr.contains(&expected), "{stderr}");
+    assert!(stderr.contains(":1:1: shared_key is missing"), "{stderr}");
 }
 
 #[test]
-fn demo_holds() {
+fn demo_passes() {
     let output = Command::new(env!("CARGO_BIN_EXE_tealcleat-load"))
         .arg("demo")
         .output()
         .expect("the demo runs");
-    let shown = String::from_utf8_lossy(&output.stdout).into_owned();
-    assert!(output.status.success() && !shown.contains("FAIL:"), "{shown}");
+    let stdout = String::from_utf8_lossy(&output.stdout).into_owned();
+    assert!(output.status.success() && !stdout.contains("FAIL:"), "{stdout}");
 }
