--- a/src/bench/soak/mod.rs
+++ b/src/bench/soak/mod.rs
@@ -21,5 +21,5 @@
 mod soak_shock;
 mod soak_trace;
 
-pub use soak_check::{SoakBreach, SoakReport};
+pub use soak_check::{SoakReport, SoakViolation};
 pub use soak_run::{SoakOptions, run_soak};
--- a/src/bench/soak/soak_ask.rs
+++ b/src/bench/soak/soak_ask.rs
@@ -1,6 +1,6 @@
 //! Asks hosts what is in force there.
 
-use super::soak_check::{SoakBreach, SoakRecord, SoakRoute};
+use super::soak_check::{SoakRecord, SoakRoute, SoakViolation};
 use super::soak_config::{dropped_mark, mark_path};
 use super::soak_run::SoakStage;
 use crate::bench::site::{SiteCall, call_site};
@@ -32,7 +32,7 @@
 /// What one host showed.
 #[derive(Debug, Default)]
 struct HostAnswers {
-    breaches: Vec<SoakBreach>,
+    violations: Vec<SoakViolation>,
     records: Vec<SoakRecord>,
 }
 
@@ -43,23 +43,24 @@
         question: &ForceQuestion,
         places: &[usize],
         records: &mut Vec<SoakRecord>,
-    ) -> Vec<SoakBreach> {
+    ) -> Vec<SoakViolation> {
         let before = self.leaving_runs(question);
         let mut asked = JoinSet::new();
         for place in places {
             asked.spawn(ask_host(question.clone(), *place, self.hosts[*place].callers));
         }
-        let mut breaches = Vec::new();
+        let mut violations = Vec::new();
         for answers in asked.join_all().await {
-            breaches.extend(answers.breaches);
+            violations.extend(answers.violations);
             records.extend(answers.records);
         }
         let after = self.leaving_runs(question);
         if after > before {
             let detail = format!("{}: {} runs", question.name, after - before);
-            breaches.push(SoakBreach { promise: "a draining server gets no new work", detail });
+            violations
+                .push(SoakViolation { guarantee: "a draining server gets no new work", detail });
         }
-        breaches
+        violations
     }
 
     /// Runs at the leaving server of requests that were sent after its leaving was in force.
@@ -98,7 +99,7 @@
         let path = mark_path(version);
         let ends = Instant::now() + ASK_PATIENCE;
         let mut serial = 0;
-        let (promise, status) = loop {
+        let (guarantee, status) = loop {
             serial += 1;
             let id = format!("{}-force-{place}-{is_there}-{serial}", question.name);
             let status = self.ask(&path, id, host).await;
@@ -113,7 +114,7 @@
             }
         };
         let detail = format!("{}, host-{place}: {path} was answered {status:?}", question.name);
-        self.breaches.push(SoakBreach { promise, detail });
+        self.violations.push(SoakViolation { guarantee, detail });
     }
 
     async fn ask(&mut self, path: &str, id: String, host: SocketAddr) -> Option<u16> {
--- a/src/bench/soak/soak_caller.rs
+++ b/src/bench/soak/soak_caller.rs
@@ -1,4 +1,4 @@
-use super::soak_check::{SoakBreach, SoakRecord, SoakReport, SoakRoute, check_reply};
+use super::soak_check::{SoakRecord, SoakReport, SoakRoute, SoakViolation, check_reply};
 use crate::bench::site::{CallerReply, SiteCall, SiteConnection};
 use crate::host::lock;
 use rand::rngs::StdRng;
@@ -114,7 +114,7 @@
 
 fn note_reply(notes: &SoakNotes, route: SoakRoute, id: &str, reply: Option<CallerReply>) {
     let mut report = lock(&notes.report);
-    report.asked += 1;
+    report.sent += 1;
     let Some(reply) = reply else {
         report.failed += 1;
         return;
@@ -124,10 +124,10 @@
         record.status = Some(status);
     }
     match status {
-        200 if reply.complete => report.whole += 1,
+        200 if reply.complete => report.completed += 1,
         503 => report.refused += 1,
         _ => report.failed += 1,
     }
-    let breach: Option<SoakBreach> = check_reply(route, id, &reply);
-    report.breaches.extend(breach);
+    let breach: Option<SoakViolation> = check_reply(route, id, &reply);
+    report.violations.extend(breach);
 }
--- a/src/bench/soak/soak_calm.rs
+++ b/src/bench/soak/soak_calm.rs
@@ -1,7 +1,7 @@
 //! What a soak checks when all faults have ended.
 
 use super::soak_caller::{CRASHING, crashing_call, soak_call};
-use super::soak_check::{SoakBreach, SoakRecord, SoakRoute, check_reply};
+use super::soak_check::{SoakRecord, SoakRoute, SoakViolation, check_reply};
 use super::soak_run::SoakStage;
 use crate::bench::site::{SiteConnection, call_site};
 use crate::quarantine::CRASHES_TO_HOLD;
@@ -24,24 +24,25 @@
 impl SoakStage {
     /// When all is calm, everything is served, drained servers get nothing, a planned stop cuts
     /// nothing, and nothing stays held.
-    pub async fn check_calm(&mut self, seed: u64) -> (Vec<SoakBreach>, Vec<SoakRecord>) {
-        let mut breaches = Vec::new();
+    pub async fn check_calm(&mut self, seed: u64) -> (Vec<SoakViolation>, Vec<SoakRecord>) {
+        let mut violations = Vec::new();
         let mut records = Vec::new();
         for route in SoakRoute::ALL {
             let served = self.served_in_the_end(seed, route, &mut records).await;
             if !served {
                 let detail = route.name().to_owned();
-                breaches.push(SoakBreach { promise: "all is served after the faults", detail });
+                violations
+                    .push(SoakViolation { guarantee: "all is served after the faults", detail });
             }
         }
-        breaches.extend(self.check_crashing(seed, &mut records).await);
-        breaches.extend(self.check_drain(seed, &mut records).await);
-        breaches.extend(self.check_stop(seed, &mut records).await);
+        violations.extend(self.check_crashing(seed, &mut records).await);
+        violations.extend(self.check_drain(seed, &mut records).await);
+        violations.extend(self.check_stop(seed, &mut records).await);
         if !self.nothing_held().await {
             let detail = "holds or results of prefills".to_owned();
-            breaches.push(SoakBreach { promise: "nothing stays held", detail });
+            violations.push(SoakViolation { guarantee: "nothing stays held", detail });
         }
-        (breaches, records)
+        (violations, records)
     }
 
     async fn served_in_the_end(
@@ -77,7 +78,7 @@
         &mut self,
         seed: u64,
         records: &mut Vec<SoakRecord>,
-    ) -> Vec<SoakBreach> {
+    ) -> Vec<SoakViolation> {
         let crashes = self.site.crashes();
         let known: Vec<(usize, usize)> = (0..CRASHING.len())
             .filter(|which| {
@@ -107,8 +108,8 @@
             (name, self.runs_of(name) - before)
         });
         late.filter(|(_, sends)| *sends > MOST_SENDS)
-            .map(|(name, sends)| SoakBreach {
-                promise: "a request that crashes servers is not sent on",
+            .map(|(name, sends)| SoakViolation {
+                guarantee: "a request that crashes servers is not sent on",
                 detail: format!("{name}: {sends} more runs"),
             })
             .collect()
@@ -132,21 +133,21 @@
     }
 
     /// Requests that merely were there when servers crashed are not refused for it.
-    pub fn check_innocents(&self) -> crate::Result<Vec<SoakBreach>> {
-        let mut breaches = Vec::new();
+    pub fn check_innocents(&self) -> crate::Result<Vec<SoakViolation>> {
+        let mut violations = Vec::new();
         for host in &self.hosts {
             let log = host.log()?;
             let refused = log.lines().filter(|line| line.contains("event=request_held_back"));
             let innocent = refused.filter(|line| !line.contains("-crash-"));
-            breaches.extend(innocent.map(|line| SoakBreach {
-                promise: "only requests that crash servers are refused for it",
+            violations.extend(innocent.map(|line| SoakViolation {
+                guarantee: "only requests that crash servers are refused for it",
                 detail: line.to_owned(),
             }));
         }
-        Ok(breaches)
+        Ok(violations)
     }
 
-    async fn check_drain(&self, seed: u64, records: &mut Vec<SoakRecord>) -> Option<SoakBreach> {
+    async fn check_drain(&self, seed: u64, records: &mut Vec<SoakRecord>) -> Option<SoakViolation> {
         self.state_service(0, "draining");
         tokio::time::sleep(DRAIN_BOUND).await;
         let before = self.site.services[0].runs().len();
@@ -159,13 +160,18 @@
         }
         let after = self.site.services[0].runs().len();
         self.state_service(0, "ready");
-        let promise = "a draining server gets no new work";
-        (after > before).then(|| SoakBreach { promise, detail: format!("{} runs", after - before) })
+        let guarantee = "a draining server gets no new work";
+        (after > before)
+            .then(|| SoakViolation { guarantee, detail: format!("{} runs", after - before) })
     }
 
     /// A kept connection is used until the stopping daemon closes it: each request that was read
     /// is answered.
-    async fn check_stop(&mut self, seed: u64, records: &mut Vec<SoakRecord>) -> Option<SoakBreach> {
+    async fn check_stop(
+        &mut self,
+        seed: u64,
+        records: &mut Vec<SoakRecord>,
+    ) -> Option<SoakViolation> {
         let host = &mut self.hosts[0];
         let mut open = SiteConnection::open(host.callers).await.ok()?;
         host.signal("-TERM").ok()?;
@@ -179,8 +185,8 @@
             records.push(SoakRecord { id: id.clone(), route, status });
             match reply {
                 Ok(reply) if !reply.complete => {
-                    let promise = "a planned stop cuts nothing";
-                    return Some(SoakBreach { promise, detail: id });
+                    let guarantee = "a planned stop cuts nothing";
+                    return Some(SoakViolation { guarantee, detail: id });
                 }
                 // A request that crosses the close was not read.
                 Err(_) => break,
--- a/src/bench/soak/soak_check.rs
+++ b/src/bench/soak/soak_check.rs
@@ -46,9 +46,9 @@
 
 /// A promise that was broken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SoakBreach {
+pub struct SoakViolation {
     /// The promise.
-    pub promise: &'static str,
+    pub guarantee: &'static str,
     /// The request or server, and what was seen.
     pub detail: String,
 }
@@ -57,9 +57,9 @@
 #[derive(Debug, Clone, Default)]
 pub struct SoakReport {
     /// Requests sent.
-    pub asked: u64,
+    pub sent: u64,
     /// Requests whose answer was whole.
-    pub whole: u64,
+    pub completed: u64,
     /// Requests that were refused as not run.
     pub refused: u64,
     /// Requests that failed or were cut.
@@ -69,7 +69,7 @@
     /// Calls of the store, from start to end.
     pub store_calls: u64,
     /// Promises broken.
-    pub breaches: Vec<SoakBreach>,
+    pub violations: Vec<SoakViolation>,
 }
 
 /// One request and what its caller was told.
@@ -82,9 +82,14 @@
 }
 
 /// Checks an answer by itself, as its caller sees it.
-pub(super) fn check_reply(route: SoakRoute, id: &str, reply: &CallerReply) -> Option<SoakBreach> {
-    let breach =
-        |promise, detail: String| Some(SoakBreach { promise, detail: format!("{id}: {detail}") });
+pub(super) fn check_reply(
+    route: SoakRoute,
+    id: &str,
+    reply: &CallerReply,
+) -> Option<SoakViolation> {
+    let breach = |guarantee, detail: String| {
+        Some(SoakViolation { guarantee, detail: format!("{id}: {detail}") })
+    };
     if reply.header("x-request-id") != id {
         return breach("an answer belongs to its request", reply.header("x-request-id").to_owned());
     }
@@ -101,23 +106,23 @@
     None
 }
 
-fn check_events(id: &str, reply: &CallerReply) -> Option<SoakBreach> {
+fn check_events(id: &str, reply: &CallerReply) -> Option<SoakViolation> {
     let events = reply.events();
     let expected: Vec<u64> = (0..events.len() as u64).collect();
     if events != expected {
         let detail = format!("{id}: {events:?}");
-        return Some(SoakBreach { promise: "events come once and in order", detail });
+        return Some(SoakViolation { guarantee: "events come once and in order", detail });
     }
     if reply.complete && events.len() as u64 != STREAM_EVENTS {
         let detail = format!("{id}: {} events", events.len());
-        return Some(SoakBreach { promise: "a stream that looks whole is whole", detail });
+        return Some(SoakViolation { guarantee: "a stream that looks whole is whole", detail });
     }
     let own: String =
         events.iter().map(|event| format!("id: {event}\ndata: {id} {event}\n\n")).collect();
     let text = String::from_utf8_lossy(&reply.body);
     // Also a stream that was cut holds whole events only.
-    (text != own).then(|| SoakBreach {
-        promise: "a stream has only its own events",
+    (text != own).then(|| SoakViolation {
+        guarantee: "a stream has only its own events",
         detail: format!("{id}: {text:?}"),
     })
 }
@@ -127,7 +132,7 @@
     records: &[SoakRecord],
     decodes: &[Arc<SiteEngine>],
     services: &[Arc<SiteService>],
-) -> Vec<SoakBreach> {
+) -> Vec<SoakViolation> {
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     let decoded = decodes.iter().flat_map(|engine| engine.runs());
     let decoded = decoded.filter(|run| run.stage == "decode").map(|run| run.request);
@@ -136,51 +141,51 @@
     }
     let known: BTreeMap<&str, &SoakRecord> =
         records.iter().map(|record| (record.id.as_str(), record)).collect();
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     for (id, count) in &runs {
         let Some(record) = known.get(id.as_str()) else {
             let detail = id.clone();
-            breaches.push(SoakBreach { promise: "servers run only what was asked", detail });
+            violations.push(SoakViolation { guarantee: "servers run only what was asked", detail });
             continue;
         };
         if *count > record.route.most_runs() {
             let detail = format!("{id} on {}: {count} runs", record.route.name());
-            breaches.push(SoakBreach { promise: "runs are bounded by the route", detail });
+            violations.push(SoakViolation { guarantee: "runs are bounded by the route", detail });
         }
         if record.status == Some(503) {
             let detail = format!("{id} on {}", record.route.name());
-            breaches.push(SoakBreach { promise: "what was refused did not run", detail });
+            violations.push(SoakViolation { guarantee: "what was refused did not run", detail });
         }
     }
-    breaches
+    violations
 }
 
 /// Checks that orders came under rising fences, and each fence from one holder.
-pub(super) fn check_orders(engines: &[Arc<SiteEngine>]) -> Vec<SoakBreach> {
+pub(super) fn check_orders(engines: &[Arc<SiteEngine>]) -> Vec<SoakViolation> {
     let mut holders: BTreeMap<u64, String> = BTreeMap::new();
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     for engine in engines {
         let orders = engine.orders();
         if orders.windows(2).any(|pair| pair[0].1 > pair[1].1) {
             let detail = engine.id.clone();
-            breaches.push(SoakBreach { promise: "fences never fall", detail });
+            violations.push(SoakViolation { guarantee: "fences never fall", detail });
         }
         for (holder, fence) in orders {
             let first = holders.entry(fence).or_insert_with(|| holder.clone());
             if *first != holder {
                 let detail = format!("{fence}: {first} and {holder}");
-                breaches.push(SoakBreach { promise: "a fence has one holder", detail });
+                violations.push(SoakViolation { guarantee: "a fence has one holder", detail });
             }
         }
     }
-    breaches
+    violations
 }
 
 /// Checks that each hold was used by the request for which it was granted: holds name nobody, so one that
 /// two requests used was granted to one of them at most.
-pub(super) fn check_holds(decodes: &[Arc<SiteEngine>]) -> Vec<SoakBreach> {
+pub(super) fn check_holds(decodes: &[Arc<SiteEngine>]) -> Vec<SoakViolation> {
     let mut users: BTreeMap<String, String> = BTreeMap::new();
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     for run in decodes.iter().flat_map(|engine| engine.runs()) {
         let Some(hold) = run.hold else {
             continue;
@@ -188,8 +193,8 @@
         let first = users.entry(hold.clone()).or_insert_with(|| run.request.clone());
         if *first != run.request {
             let detail = format!("{hold}: {first} and {}", run.request);
-            breaches.push(SoakBreach { promise: "a hold is used by one request", detail });
+            violations.push(SoakViolation { guarantee: "a hold is used by one request", detail });
         }
     }
-    breaches
+    violations
 }
--- a/src/bench/soak/soak_config.rs
+++ b/src/bench/soak/soak_config.rs
@@ -13,7 +13,7 @@
     /// The operator confirms a further version.
     pub fn confirm_version(&mut self) {
         self.version += VERSION_STEP;
-        let config = marked_config(self.version, self.further_routes);
+        let config = marked_config(self.version, self.unused_routes);
         self.site.set_config(self.version, &config);
     }
 }
--- a/src/bench/soak/soak_force.rs
+++ b/src/bench/soak/soak_force.rs
@@ -1,7 +1,7 @@
 //! Whether what the store has confirmed is in force at each host in time.
 
 use super::soak_ask::ForceQuestion;
-use super::soak_check::{SoakBreach, SoakRecord};
+use super::soak_check::{SoakRecord, SoakViolation};
 use super::soak_run::{SoakOptions, SoakStage};
 use super::soak_shock::HostShock;
 use crate::Result;
@@ -59,10 +59,10 @@
     /// The shocks of a soak, in the order in which they come.
     fn draw_all(options: &SoakOptions, domains: usize, random: &mut StdRng) -> Vec<Self> {
         let mut shocks = Vec::new();
-        if options.is_silencing {
+        if options.silences_connections {
             shocks.extend(Self::SILENCING);
         }
-        if options.is_cutting {
+        if options.cuts_machines {
             let domain = random.random_range(0..domains);
             shocks.extend(HostShock::all(domain).map(Self::Hosts));
         }
@@ -77,12 +77,12 @@
     pub async fn check_force(
         &mut self,
         options: &SoakOptions,
-    ) -> Result<(Vec<SoakBreach>, Vec<SoakRecord>)> {
+    ) -> Result<(Vec<SoakViolation>, Vec<SoakRecord>)> {
         let mut random = StdRng::seed_from_u64(options.seed ^ SHOCK_SALT);
-        let (mut breaches, mut records) = (Vec::new(), Vec::new());
+        let (mut violations, mut records) = (Vec::new(), Vec::new());
         let shocks = ForceShock::draw_all(options, self.domains, &mut random);
         if shocks.is_empty() {
-            return Ok((breaches, records));
+            return Ok((violations, records));
         }
         let between_hosts = self.host_links.iter().map(|link| &link.connections);
         for link in between_hosts.chain(&self.store_links) {
@@ -104,7 +104,7 @@
                 ForceShock::Hosts(shock) => {
                     let spared = self.begin_shock(shock, leaving, FORCE_BOUND, &mut random).await?;
                     let question = question(self, "beside");
-                    breaches.extend(self.ask_hosts(&question, &spared, &mut records).await);
+                    violations.extend(self.ask_hosts(&question, &spared, &mut records).await);
                     self.end_shock(shock, &mut random).await?;
                 }
                 _ => self.strike(shock, leaving, &mut random).await?,
@@ -113,12 +113,12 @@
             sleep(FORCE_BOUND).await;
             let all: Vec<usize> = (0..self.hosts.len()).collect();
             let question = question(self, "after");
-            breaches.extend(self.ask_hosts(&question, &all, &mut records).await);
+            violations.extend(self.ask_hosts(&question, &all, &mut records).await);
             self.state_service(leaving, "ready");
             self.restart_crashed().await?;
             sleep(BETWEEN_SHOCKS).await;
         }
-        Ok((breaches, records))
+        Ok((violations, records))
     }
 
     async fn strike(
--- a/src/bench/soak/soak_inject.rs
+++ b/src/bench/soak/soak_inject.rs
@@ -58,7 +58,7 @@
         let mut cuts = StdRng::seed_from_u64(options.seed ^ CUT_SALT);
         let mut crashed = BTreeMap::new();
         let places = self.places();
-        let ends = Instant::now() + options.length;
+        let ends = Instant::now() + options.duration;
         let mut open: Vec<OpenFault> = Vec::new();
         let mut count = 0;
         while Instant::now() < ends {
@@ -72,24 +72,24 @@
                 self.restart_server(restarts.random_range(0..self.links.len())).await?;
                 count += 1;
             }
-            if options.is_suspending && suspends.random_bool(SUSPEND_PART) {
+            if options.suspends_hosts && suspends.random_bool(SUSPEND_PART) {
                 let fault = SoakFault::Suspend(suspends.random_range(0..places.hosts));
                 self.begin(fault)?;
                 count += 1;
                 let lasts = suspends.random_range(SHORTEST_SUSPEND_MS..LONGEST_SUSPEND_MS);
                 open.push((fault, Instant::now() + Duration::from_millis(lasts)));
             }
-            if options.is_limiting && limits.random_bool(LIMIT_PART) {
+            if options.limits_servers && limits.random_bool(LIMIT_PART) {
                 self.change_limit(&mut limits);
                 count += 1;
             }
-            if options.is_silencing && silences.random_bool(SILENCE_PART) {
+            if options.silences_connections && silences.random_bool(SILENCE_PART) {
                 let part = if silences.random_bool(0.5) { 1.0 } else { SILENT_LINKS };
                 self.trace.note_shock(&format!("silence of {part}"))?;
                 self.silence_connections(part, &mut silences);
                 count += 1;
             }
-            if options.is_cutting && cuts.random_bool(CUT_PART) {
+            if options.cuts_machines && cuts.random_bool(CUT_PART) {
                 let fault = draw_cut(&mut cuts, places.hosts, self.domains);
                 self.begin(fault)?;
                 count += 1;
--- a/src/bench/soak/soak_limits.rs
+++ b/src/bench/soak/soak_limits.rs
@@ -1,6 +1,6 @@
 //! Limits that a soak's servers name, and what they get then.
 
-use super::soak_check::SoakBreach;
+use super::soak_check::SoakViolation;
 use super::soak_run::SoakStage;
 use crate::Result;
 use crate::bench::site::{LimitAnnouncement, LimitExcess, SiteArrivals};
@@ -48,7 +48,7 @@
 
     /// While callers go on and all else is calm but for a host that is killed and one that is suspended, servers name
     /// limits, and none gets more than it named.
-    pub async fn check_limits(&mut self, seed: u64) -> Result<Vec<SoakBreach>> {
+    pub async fn check_limits(&mut self, seed: u64) -> Result<Vec<SoakViolation>> {
         let mut random = StdRng::seed_from_u64(seed);
         for place in 0..self.links.len() {
             self.arrivals(place).clear();
@@ -63,9 +63,9 @@
         self.keep_up(KNOWN_TIME).await?;
         self.disturb(&mut random).await?;
         self.keep_up(KNOWN_TIME).await?;
-        let breaches = self.over_limits();
+        let violations = self.over_limits();
         self.take_limits_back();
-        Ok(breaches)
+        Ok(violations)
     }
 
     async fn disturb(&mut self, random: &mut StdRng) -> Result<()> {
@@ -88,19 +88,19 @@
         Ok(())
     }
 
-    fn over_limits(&self) -> Vec<SoakBreach> {
+    fn over_limits(&self) -> Vec<SoakViolation> {
         let engines = self.site.decodes.iter().chain(&self.site.prefills);
         let engines = engines.map(|engine| (&engine.id, &engine.arrivals));
         let services = self.site.services.iter().map(|server| (&server.id, &server.arrivals));
         let all = engines.chain(services);
-        all.filter_map(|(id, arrivals)| Some(breach(id, arrivals.worst_excess()?))).collect()
+        all.filter_map(|(id, arrivals)| Some(violation(id, arrivals.worst_excess()?))).collect()
     }
 }
 
-fn breach(id: &str, excess: LimitExcess) -> SoakBreach {
+fn violation(id: &str, excess: LimitExcess) -> SoakViolation {
     let LimitExcess { arrived, allowed } = excess;
     let detail = format!("{id}: {arrived} requests in 4 s, {allowed:.1} allowed");
-    SoakBreach { promise: "no server gets more than its limit allows", detail }
+    SoakViolation { guarantee: "no server gets more than its limit allows", detail }
 }
 
 fn draw_speech(random: &mut StdRng) -> LimitAnnouncement {
--- a/src/bench/soak/soak_run.rs
+++ b/src/bench/soak/soak_run.rs
@@ -31,7 +31,7 @@
     /// Draws faults and callers.
     pub seed: u64,
     /// How long faults are injected.
-    pub length: Duration,
+    pub duration: Duration,
     /// Daemons.
     pub hosts: usize,
     /// Failure domains over which they are spread; three at most.
@@ -39,18 +39,18 @@
     /// Callers.
     pub callers: usize,
     /// Some requests crash the servers that run them.
-    pub is_crashing: bool,
+    pub sends_crashing_requests: bool,
     /// Daemons are suspended; their environment has a clock that stands still meanwhile.
-    pub is_suspending: bool,
+    pub suspends_hosts: bool,
     /// Servers name limits.
-    pub is_limiting: bool,
+    pub limits_servers: bool,
     /// Open connections fall silent, and each host is asked in the end what is in force there.
-    pub is_silencing: bool,
+    pub silences_connections: bool,
     /// Machines are cut off, with the same questions in the end; the daemons' environment has a library that lets
     /// their connections come from the address of their machine.
-    pub is_cutting: bool,
+    pub cuts_machines: bool,
     /// Routes of the configuration that nobody asks for.
-    pub further_routes: usize,
+    pub unused_routes: usize,
     /// Variables of the daemons' environment.
     pub environment: Vec<(String, String)>,
     /// Folder of the built programs.
@@ -75,7 +75,7 @@
     pub domains: usize,
     /// Of the configuration.
     pub version: u64,
-    pub further_routes: usize,
+    pub unused_routes: usize,
     pub trace: SoakTrace,
 }
 
@@ -97,14 +97,14 @@
         .map(|place| {
             let seed = options.seed.wrapping_mul(1000) + place as u64;
             let name = format!("s{}-c{place}", options.seed);
-            let plan = CallerPlan { seed, name, is_crashing: options.is_crashing };
+            let plan = CallerPlan { seed, name, is_crashing: options.sends_crashing_requests };
             tokio::spawn(run_caller(plan, Arc::clone(&addresses), Arc::clone(&notes)))
         })
         .collect();
     let faults = stage.inject(options).await?;
     stage.heal().await?;
     let over_limits =
-        if options.is_limiting { stage.check_limits(options.seed).await? } else { Vec::new() };
+        if options.limits_servers { stage.check_limits(options.seed).await? } else { Vec::new() };
     let in_force = stage.check_force(options).await?;
     notes.ended.store(true, Ordering::Relaxed);
     for caller in callers {
@@ -119,16 +119,16 @@
     let mut records = lock(&notes.records).clone();
     records.extend(calm.1);
     records.extend(in_force.1);
-    report.breaches.extend(calm.0);
-    report.breaches.extend(in_force.0);
+    report.violations.extend(calm.0);
+    report.violations.extend(in_force.0);
     let site = &stage.site;
-    report.breaches.extend(check_runs(&records, &site.decodes, &site.services));
+    report.violations.extend(check_runs(&records, &site.decodes, &site.services));
     let engines: Vec<_> = site.decodes.iter().chain(&site.prefills).cloned().collect();
-    report.breaches.extend(check_orders(&engines));
-    report.breaches.extend(check_holds(&site.decodes));
-    report.breaches.extend(stage.check_innocents()?);
-    report.breaches.extend(over_limits);
-    if report.breaches.is_empty() {
+    report.violations.extend(check_orders(&engines));
+    report.violations.extend(check_holds(&site.decodes));
+    report.violations.extend(stage.check_innocents()?);
+    report.violations.extend(over_limits);
+    if report.violations.is_empty() {
         std::fs::remove_dir_all(&folder)?;
     }
     Ok(report)
@@ -170,7 +170,7 @@
             sockets,
             domains: options.domains.clamp(1, DOMAINS.len()),
             version: 1,
-            further_routes: options.further_routes,
+            unused_routes: options.unused_routes,
             trace: SoakTrace::create(folder)?,
         };
         stage.confirm_version();
@@ -178,7 +178,7 @@
             stage.add_host(options, folder, place).await?;
         }
         stage.wait_ready().await?;
-        if options.is_cutting && !stage.knows_machines() {
+        if options.cuts_machines && !stage.knows_machines() {
             let cause = "connections of daemons do not come from their machines' addresses";
             return Err(Error::Refused(format!("{cause}: {:?}", stage.store_sources())));
         }
@@ -197,7 +197,7 @@
         let seed = options.seed.wrapping_mul(SERVER_SEEDS) + (self.links.len() + place) as u64;
         let store = AnswerLink::start(link.address, seed).await?;
         let seeds: Vec<SocketAddr> = self.hosts.iter().map(|host| host.peers).collect();
-        let has_link = options.is_silencing || options.is_cutting;
+        let has_link = options.silences_connections || options.cuts_machines;
         let advertised = has_link.then(advertised_address).transpose()?;
         let here = IpAddr::from(Ipv4Addr::LOCALHOST);
         let host = GatewayProcess::start(&ProcessPlan {
@@ -205,7 +205,7 @@
             folder,
             name: &format!("host-{place}"),
             domain: DOMAINS[place % self.domains],
-            machine: if options.is_cutting { machine_address(place) } else { here },
+            machine: if options.cuts_machines { machine_address(place) } else { here },
             store: store.address,
             seeds: &seeds,
             advertised,
--- a/src/bin/tealcleat-load/controller.rs
+++ b/src/bin/tealcleat-load/controller.rs
@@ -38,20 +38,20 @@
             further_routes,
             variable,
         } => {
-            let length = Duration::from_secs(*seconds);
+            let duration = Duration::from_secs(*seconds);
             let options = SoakOptions {
                 seed: *seed,
-                length,
+                duration,
                 hosts: *hosts,
                 domains: *domains,
                 callers: *callers,
                 programs,
-                is_crashing: *crashing,
-                is_suspending: *suspending,
-                is_limiting: *limiting,
-                is_silencing: *silencing,
-                is_cutting: *cutting,
-                further_routes: *further_routes,
+                sends_crashing_requests: *crashing,
+                suspends_hosts: *suspending,
+                limits_servers: *limiting,
+                silences_connections: *silencing,
+                cuts_machines: *cutting,
+                unused_routes: *further_routes,
                 environment: variable
                     .iter()
                     .map(|text| read_variable(text))
--- a/src/bin/tealcleat-load/site_soak.rs
+++ b/src/bin/tealcleat-load/site_soak.rs
@@ -13,17 +13,17 @@
         println!(
             "seed={seed} faults={} asked={} whole={} refused={} failed={} store_calls={} broken={}",
             report.faults,
-            report.asked,
-            report.whole,
+            report.sent,
+            report.completed,
             report.refused,
             report.failed,
             report.store_calls,
-            report.breaches.len()
+            report.violations.len()
         );
-        for breach in &report.breaches {
-            println!("  {}: {}", breach.promise, breach.detail);
+        for violation in &report.violations {
+            println!("  {}: {}", violation.guarantee, violation.detail);
         }
-        all_passed &= report.breaches.is_empty();
+        all_passed &= report.violations.is_empty();
     }
     runtime.shutdown_background();
     Ok(all_passed)
--- a/tests/site_soak.rs
+++ b/tests/site_soak.rs
@@ -30,8 +30,8 @@
     run(SoakOptions {
         hosts: 4,
         domains: 2,
-        is_crashing: true,
-        is_suspending: true,
+        sends_crashing_requests: true,
+        suspends_hosts: true,
         environment,
         ..plan
     });
@@ -43,7 +43,7 @@
 fn soak_with_limited_servers() {
     let plan = options(1);
     let environment = held_clock("soak-limits");
-    run(SoakOptions { hosts: 6, domains: 3, is_limiting: true, environment, ..plan });
+    run(SoakOptions { hosts: 6, domains: 3, limits_servers: true, environment, ..plan });
 }
 
 /// Beside all other faults open connections fall silent; in the end each host is asked what is in force there, beside
@@ -53,8 +53,14 @@
 #[case::second(2)]
 fn confirmed_changes_in_force_throughout_a_soak(#[case] seed: u64) {
     let plan = options(seed);
-    let length = Duration::from_secs(3);
-    run(SoakOptions { hosts: 5, is_silencing: true, further_routes: 1400, length, ..plan });
+    let duration = Duration::from_secs(3);
+    run(SoakOptions {
+        hosts: 5,
+        silences_connections: true,
+        unused_routes: 1400,
+        duration,
+        ..plan
+    });
 }
 
 /// The same beside machines that are cut off, from everything or from other hosts only, in series and beside kills. Seen: 404
@@ -65,12 +71,12 @@
 fn confirmed_changes_in_force_beside_cut_machines() {
     let plan = options(1);
     let environment = source_address("soak-cuts");
-    let length = Duration::from_secs(3);
+    let duration = Duration::from_secs(3);
     run(SoakOptions {
         hosts: 12,
-        is_cutting: true,
-        further_routes: 1400,
-        length,
+        cuts_machines: true,
+        unused_routes: 1400,
+        duration,
         environment,
         ..plan
     });
@@ -80,16 +86,16 @@
     let daemon = Path::new(env!("CARGO_BIN_EXE_tealcleatd"));
     SoakOptions {
         seed,
-        length: Duration::from_secs(6),
+        duration: Duration::from_secs(6),
         hosts: 3,
         domains: 1,
         callers: 12,
-        is_crashing: false,
-        is_suspending: false,
-        is_limiting: false,
-        is_silencing: false,
-        is_cutting: false,
-        further_routes: 0,
+        sends_crashing_requests: false,
+        suspends_hosts: false,
+        limits_servers: false,
+        silences_connections: false,
+        cuts_machines: false,
+        unused_routes: 0,
         environment: Vec::new(),
         programs: daemon.parent().expect("a folder").to_path_buf(),
     }
@@ -100,6 +106,6 @@
     let runtime = runtime.expect("a runtime");
     let report = runtime.block_on(run_soak(&options)).expect("it runs");
     runtime.shutdown_background();
-    assert!(report.breaches.is_empty(), "{:?}", report.breaches);
-    assert!(report.whole > 0);
+    assert!(report.violations.is_empty(), "{:?}", report.violations);
+    assert!(report.completed > 0);
 }
