--- a/src/engines/idle_connections.rs
+++ b/src/engines/idle_connections.rs
@@ -12,8 +12,8 @@
 const MAX_IDLE_PER_ADDRESS: usize = 64;
 /// Keep-alive time assumed for a server that does not state one.
 pub(super) const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(2);
-/// How long before its server closes it an idle connection is no longer used, so that the server does not close it
-/// while a request is in flight.
+/// Time before the server closes an idle connection during which it is no longer used; otherwise the server might close
+/// it while a request is in flight.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 /// How long after an answer without proof no connection to its server is reused. A server that sends one answer twice
 /// has usually sent others twice as well, and each copy fails the request that receives it. With 3 in 10 answers
@@ -140,7 +140,8 @@
         PendingCall { idle: self.clone(), address, sent_at: self.clock.now(), is_complete: false }
     }
 
-    /// Handles a call sent on a pooled connection at `sent_at` that was abandoned without an answer.
+    /// Closes the idle connections to a server after a call sent at `sent_at` was abandoned without an answer, unless
+    /// another answer has arrived from the server since.
     fn record_unanswered(&self, address: SocketAddr, sent_at: TimePoint) {
         let now = self.clock.now();
         let Ok(mut servers) = self.servers.lock() else { return };
--- a/src/gateway/view_store.rs
+++ b/src/gateway/view_store.rs
@@ -167,12 +167,12 @@
     after: u64,
     wait: Duration,
 ) -> Result<FollowStep> {
-    let longest = match kind {
+    let max_bytes = match kind {
         // Each version is complete: an answer longer than the longest object holds several, and only the last one counts.
         FollowedKind::Routes => MAX_OBJECT_BYTES,
         FollowedKind::Servers => usize::MAX,
     };
-    let plan = WatchLimits { wait, slack: WATCH_SLACK, max_bytes: longest };
+    let plan = WatchLimits { wait, slack: WATCH_SLACK, max_bytes };
     let asked_at = host.now();
     let answer = host.store.watch(kind.name(), after, plan).await?;
     record_store_answer(host, kind);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,5 @@
-//! tealcleat routes requests to a small number of large model backend servers in two pools, prefill and decode.
+//! tealcleat routes requests to a small number of large, failure-prone model backend servers in two pools, prefill and
+//! decode.
 //!
 //! Decision modules are pure state machines without I/O (`placement`, `streams`, `claims`, `membership`, `intents`,
 //! `orders`, `routes`, `fleet`, `organisations`, `limits`, `server_limits`, `quarantine`). Edge modules use sockets
--- a/tests/answer_ends.rs
+++ b/tests/answer_ends.rs
@@ -108,8 +108,8 @@
     runtime().block_on(async {
         let truncated = body_of(vec![AnswerPart::Token("second".to_owned())]).await;
         assert_eq!(truncated, None, "an answer without its end looks complete");
-        let complete = body_of(vec![AnswerPart::Done("stop".to_owned())]).await;
-        assert!(complete.expect("a complete answer").ends_with(b"data: [DONE]\n\n"));
+        let complete = body_of(vec![AnswerPart::Done("stop".to_owned())]).await.expect("an end");
+        assert!(complete.ends_with(b"data: [DONE]\n\n"));
     });
 }
 
