--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn host_settings_valid() {
+fn check_text_accepts_host_settings() {
     assert_eq!(finding_lines(VALID_HOST), Vec::<String>::new());
 }
 
@@ -62,12 +62,12 @@
     "f:1:59: role must be \"prefill\" or \"decode\", not \"both\"",
     "f:1:79: classes must hold only objects",
 ])]
-fn host_settings_and_intents_invalid(#[case] text: &str, #[case] expected: &[&str]) {
+fn check_text_reports_host_and_intent_findings(#[case] text: &str, #[case] expected: &[&str]) {
     assert_eq!(finding_lines(text), expected);
 }
 
 #[test]
-fn example_files_valid() {
+fn check_text_accepts_examples() {
     let mut checked = 0;
     for folder in ["panelbridge", "halvorsen"] {
         let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("examples").join(folder);
@@ -89,7 +89,7 @@
 }"#;
 
 #[test]
-fn gateway_settings_valid() {
+fn check_text_accepts_gateway_settings() {
     assert_eq!(finding_lines(VALID_GATEWAY), Vec::<String>::new());
 }
 
@@ -113,6 +113,6 @@
 #[case::short_key(&VALID_GATEWAY.replace("0123456789abcdef", "short"), &[
     "f:6:17: shared_key must have at least 16 characters",
 ])]
-fn gateway_settings_invalid(#[case] text: &str, #[case] expected: &[&str]) {
+fn check_text_reports_gateway_findings(#[case] text: &str, #[case] expected: &[&str]) {
     assert_eq!(finding_lines(text), expected);
 }
