--- a/src/callers/answer_body.rs
+++ b/src/callers/answer_body.rs
@@ -42,9 +42,9 @@
                     "choices": [{"index": 0, "text": "", "finish_reason": finish}]});
                 format!("data: {chunk}\n\ndata: [DONE]\n\n")
             }
-            AnswerPart::Failed(answer) => {
+            AnswerPart::Failed(failure) => {
                 self.ended = true;
-                format!("event: error\ndata: {}\n\n", CallerError::from(answer).json())
+                format!("event: error\ndata: {}\n\n", CallerError::from(failure).json())
             }
         };
         Bytes::from(text)
--- a/src/callers/caller_error.rs
+++ b/src/callers/caller_error.rs
@@ -88,8 +88,8 @@
 }
 
 impl From<AnswerFailure> for CallerError {
-    fn from(answer: AnswerFailure) -> Self {
-        let (outcome, status, reason, retry_after, message) = match answer {
+    fn from(failure: AnswerFailure) -> Self {
+        let (outcome, status, reason, retry_after, message) = match failure {
             AnswerFailure::NotRun { reason, retry_after } => (
                 ErrorOutcome::NotRun,
                 StatusCode::SERVICE_UNAVAILABLE,
--- a/src/callers/completion_route.rs
+++ b/src/callers/completion_route.rs
@@ -28,7 +28,7 @@
     let first = parts.recv().await;
     let id_value = request_id.parse();
     let mut response = match first {
-        Some(AnswerPart::Failed(answer)) => CallerError::from(answer).response(),
+        Some(AnswerPart::Failed(failure)) => CallerError::from(failure).response(),
         None => CallerError::internal().response(),
         Some(first) if body.stream => stream_response(request_id, first, parts),
         Some(first) => collect_response(&body, request_id, first, parts).await,
@@ -113,7 +113,7 @@
                 let bytes = Bytes::from(answer.to_string());
                 return whole_response(StatusCode::OK, "application/json", bytes);
             }
-            AnswerPart::Failed(answer) => return CallerError::from(answer).response(),
+            AnswerPart::Failed(failure) => return CallerError::from(failure).response(),
         }
         next = parts.recv().await;
     }
--- a/src/host/once_call.rs
+++ b/src/host/once_call.rs
@@ -25,13 +25,13 @@
     let _in_flight = InFlightGuard::begin(&host);
     let started_at = host.now();
     let trace = request.trace;
-    let answer = match request.ticket {
+    let outcome = match request.ticket {
         Some(ticket) => run_by_ticket(&host, request, ticket).await,
         None => run_by_key(&host, request).await,
     };
-    host.record_span(trace, "once_call", started_at, format!("answer={}", answer.name()));
-    host.metrics().add(answer.counter(), 1);
-    answer
+    host.record_span(trace, "once_call", started_at, format!("answer={}", outcome.name()));
+    host.metrics().add(outcome.counter(), 1);
+    outcome
 }
 
 async fn run_by_key(host: &Arc<HostState>, request: OnceRequest) -> OnceOutcome {
--- a/src/host/ownership_loop.rs
+++ b/src/host/ownership_loop.rs
@@ -13,18 +13,18 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-const OWNERSHIP_TICK: Duration = Duration::from_millis(50);
+const OWNERSHIP_PERIOD: Duration = Duration::from_millis(50);
 
 /// Updates the ownership whenever the membership or the configuration changes.
 pub(super) async fn run_ownership(host: Arc<HostState>) {
-    let mut seen = 0;
+    let mut last_hash = 0;
     loop {
-        let view = ownership_hash(&host);
-        if view != seen {
-            seen = view;
+        let hash = ownership_hash(&host);
+        if hash != last_hash {
+            last_hash = hash;
             update_ownership(&host);
         }
-        tokio::time::sleep(OWNERSHIP_TICK).await;
+        tokio::time::sleep(OWNERSHIP_PERIOD).await;
     }
 }
 
@@ -53,10 +53,10 @@
         let mut owned = lock(&host.owned);
         owned.retain(|key, _| wanted.contains_key(key));
         for (key, spec) in wanted {
-            if let std::collections::hash_map::Entry::Vacant(place) = owned.entry(key) {
+            if let std::collections::hash_map::Entry::Vacant(entry) = owned.entry(key) {
                 let term = host.next_term.fetch_add(1, Ordering::Relaxed);
                 log::info!("event=book_taken server={} term={term}", spec.name);
-                place.insert(OwnedServer::new(ServerLedger::rebuilding(spec), term));
+                entry.insert(OwnedServer::new(ServerLedger::rebuilding(spec), term));
                 acquired.push((key, term));
             }
         }
--- a/src/host/place_request.rs
+++ b/src/host/place_request.rs
@@ -84,9 +84,9 @@
 
 /// Chooses the servers of one role to ask for quotes.
 ///
-/// A small fleet is asked whole. In a large one, some servers are chosen by cache affinity to the
-/// prompt and the rest at random. Most are in the home domain and the others in one single other
-/// domain, because a pair of prefill and decode servers needs both in the same domain.
+/// In a small fleet, all servers are asked. In a large one, some servers are chosen by cache
+/// affinity to the prompt and the rest at random. Most are in the home domain and the others in one
+/// single other domain, because a pair of prefill and decode servers needs both in the same domain.
 fn candidates(
     config: &ClusterConfig,
     role: ServerRole,
--- a/src/host/plan_handler.rs
+++ b/src/host/plan_handler.rs
@@ -42,7 +42,7 @@
     pub fn plan(self: &Arc<Self>, text: &str) -> OperatorReply {
         let intent = match parse_intent(text) {
             Ok(intent) => intent,
-            Err(answer) => return answer,
+            Err(reply) => return reply,
         };
         // The store has the newest version; while it is unavailable, the version in force is used.
         if let Err(error) = self.runtime.block_on(self.read_config()) {
@@ -58,7 +58,7 @@
     pub fn confirm(self: &Arc<Self>, request: &ConfirmRequest) -> OperatorReply {
         let intent = match parse_intent(&request.intent) {
             Ok(intent) => intent,
-            Err(answer) => return answer,
+            Err(reply) => return reply,
         };
         let change_id: u64 = rand::random();
         let mut last_cause = "the store gave no answer".to_owned();
