--- a/src/bench/worlds/claim_world.rs
+++ b/src/bench/worlds/claim_world.rs
@@ -1,5 +1,5 @@
 use super::claim_parts::{ClaimHost, StoreAnswer, StoreCall};
-use super::{Sabotage, WorldReport};
+use super::{InjectedBug, WorldReport};
 use crate::claims::{
     BucketCall, BucketValue, ClaimKey, ClaimRecord, ClaimRequest, ClaimVerdict, KeyStatus,
     StoredAnswer,
@@ -28,12 +28,12 @@
     next_incarnation: u64,
     runs: BTreeMap<ClaimKey, u32>,
     answers: BTreeMap<ClaimKey, u32>,
-    sabotage: Sabotage,
+    bug: InjectedBug,
     report: WorldReport,
 }
 
 /// Runs the world of at-most-once claims.
-pub fn run_claim_world(seed: u64, steps: u64, sabotage: Sabotage) -> WorldReport {
+pub fn run_claim_world(seed: u64, steps: u64, bug: InjectedBug) -> WorldReport {
     let mut world = ClaimWorld {
         rng: StdRng::seed_from_u64(seed),
         now: TimePoint::from_millis(1000),
@@ -45,7 +45,7 @@
         next_incarnation: HOSTS as u64 + 1,
         runs: BTreeMap::new(),
         answers: BTreeMap::new(),
-        sabotage,
+        bug,
         report: WorldReport::default(),
     };
     for _ in 0..steps {
@@ -121,14 +121,14 @@
                 let count = self.answers.entry(key).or_default();
                 *count += 1;
                 if *count > 1 {
-                    self.report.note_broken(format!("{key:?} was answered twice"));
+                    self.report.record_violation(format!("{key:?} was answered twice"));
                 }
                 self.report.done += 1;
             }
             KeyStatus::NotRun => {
                 let running = self.hosts.iter().any(|host| host.running.iter().any(|r| r.1 == key));
                 if running || self.runs.contains_key(&key) {
-                    self.report.note_broken(format!("{key:?} ran, but was told not run"));
+                    self.report.record_violation(format!("{key:?} ran, but was told not run"));
                 }
             }
             _ => {}
@@ -207,8 +207,8 @@
         host.calls_open = false;
         let bucket = &mut host.bucket;
         let verdicts = match (call.lost, call.answer.take()) {
-            (true, _) | (_, None) => match (&call.order, self.sabotage) {
-                (BucketCall::Write { expected, value }, Sabotage::TrustLostWrite) => {
+            (true, _) | (_, None) => match (&call.order, self.bug) {
+                (BucketCall::Write { expected, value }, InjectedBug::AssumeWriteSucceeded) => {
                     bucket.on_written(expected + 1, value.clone())
                 }
                 _ if self.rng.random_bool(0.3) => bucket.on_failed(),
@@ -253,7 +253,7 @@
 
     fn ask_claimant(&mut self, standing: ClaimRecord) {
         let (key, attempt) = (standing.key, standing.attempt);
-        if self.sabotage == Sabotage::SpeakForOthers {
+        if self.bug == InjectedBug::SkipClaimantCheck {
             return self.tell(key, KeyStatus::NotRun);
         }
         let now = self.now;
@@ -273,7 +273,7 @@
         let count = self.runs.entry(key).or_default();
         *count += 1;
         if *count > 1 {
-            self.report.note_broken(format!("{key:?} ran twice"));
+            self.report.record_violation(format!("{key:?} ran twice"));
         }
     }
 
--- a/src/bench/worlds/limit_exchange.rs
+++ b/src/bench/worlds/limit_exchange.rs
@@ -1,6 +1,6 @@
 //! What hosts of the limit world ask, grant, lend and tell each other.
 
-use super::Sabotage;
+use super::InjectedBug;
 use super::limit_parts::{OpenAsk, ParcelBody};
 use super::limit_world::{ANSWER_LIMIT, BOUNDS, DOMAINS, LimitWorld, org};
 use super::world_host::domain_key;
@@ -41,7 +41,7 @@
     fn share(&self, place: usize) -> LimitShare {
         let share = LimitShare::for_domain(&self.limit, &BOUNDS);
         let (seen, known) = self.hosts[place].domain_hosts(self.now);
-        if self.sabotage == Sabotage::OwnWholePart { share } else { share.scaled(seen, known) }
+        if self.bug == InjectedBug::GrantWholeShare { share } else { share.scaled(seen, known) }
     }
 
     pub fn grant(&mut self, place: usize, from: IncarnationId, ask: &LimitRequest) -> LimitReply {
@@ -69,7 +69,7 @@
         // Its own clock began with its life.
         let since = self.now - age.since(looked_at);
         let has_owned = is_owner && host.has_owned(org(), since);
-        if self.sabotage != Sabotage::KeepLostAccounts {
+        if self.bug != InjectedBug::KeepStaleAccounts {
             host.tools.ledger.check_ownership(age, |_| has_owned);
         }
     }
--- a/src/bench/worlds/limit_world.rs
+++ b/src/bench/worlds/limit_world.rs
@@ -1,7 +1,7 @@
 use super::limit_parts::{LimitHost, OpenAsk, ParcelBody, UseWindow};
 use super::world_host::meet_all;
 use super::world_net::WorldNet;
-use super::{Sabotage, WorldReport};
+use super::{InjectedBug, WorldReport};
 use crate::keys::{OrgKey, TimePoint};
 use crate::limits::{LimitBounds, OwnerChoice};
 use crate::organisations::{LimitUnit, OrgLimit};
@@ -41,14 +41,14 @@
     pub window: UseWindow,
     pub limit: OrgLimit,
     load: f64,
-    pub sabotage: Sabotage,
+    pub bug: InjectedBug,
     pub report: WorldReport,
 }
 
 /// Runs the world of one organisation's limit: hosts of three failure domains that grant, borrow and tell,
 /// over links that lose datagrams, with domains and hosts cut off, suspended and killed, alone and all at
 /// once, while the organisation asks for up to four times its limit.
-pub fn run_limit_world(seed: u64, steps: u64, sabotage: Sabotage) -> WorldReport {
+pub fn run_limit_world(seed: u64, steps: u64, bug: InjectedBug) -> WorldReport {
     let mut rng = StdRng::seed_from_u64(seed);
     let domain_hosts = DOMAIN_HOSTS[rng.random_range(0..DOMAIN_HOSTS.len())];
     let hosts = domain_hosts * DOMAINS;
@@ -63,7 +63,7 @@
         window: UseWindow::new(BOUNDS.window),
         limit: OrgLimit { rate, burst: rate, unit: LimitUnit::Requests },
         load: USUAL_LOAD,
-        sabotage,
+        bug,
         report: WorldReport::default(),
     };
     for _ in 0..steps {
@@ -177,8 +177,9 @@
         let used = self.window.used(self.now);
         if used as f64 > allowed {
             let at = self.now.0 / 1000;
-            self.report
-                .note_broken(format!("{used} units used in 8 s at {at} ms, {allowed} allowed"));
+            self.report.record_violation(format!(
+                "{used} units used in 8 s at {at} ms, {allowed} allowed"
+            ));
         }
     }
 }
--- a/src/bench/worlds/member_world.rs
+++ b/src/bench/worlds/member_world.rs
@@ -1,4 +1,4 @@
-use super::{Sabotage, WorldReport};
+use super::{InjectedBug, WorldReport};
 use crate::intents::{ActiveConfig, ClusterConfig};
 use crate::keys::{IncarnationId, NameKey, TimePoint};
 use crate::membership::{
@@ -42,12 +42,12 @@
     newest: u64,
     cut: Option<usize>,
     lossy: bool,
-    sabotage: Sabotage,
+    bug: InjectedBug,
     report: WorldReport,
 }
 
 /// Runs the world of membership and of spreading configurations.
-pub fn run_member_world(seed: u64, steps: u64, sabotage: Sabotage) -> WorldReport {
+pub fn run_member_world(seed: u64, steps: u64, bug: InjectedBug) -> WorldReport {
     let mut world = MemberWorld {
         rng: StdRng::seed_from_u64(seed),
         now: TimePoint::from_millis(1),
@@ -57,7 +57,7 @@
         newest: 0,
         cut: None,
         lossy: true,
-        sabotage,
+        bug,
         report: WorldReport::default(),
     };
     for place in 0..DOMAINS * HOSTS_EACH {
@@ -122,13 +122,14 @@
     fn adopt(&mut self, place: usize, version: u64) {
         let before = self.hosts[place].config.current().version;
         let config = ClusterConfig { version, ..Default::default() };
-        if self.sabotage == Sabotage::AdoptOlder {
+        if self.bug == InjectedBug::AdoptOlderConfig {
             self.hosts[place].config = ActiveConfig::default();
         }
         self.hosts[place].config.adopt(config);
         let after = self.hosts[place].config.current().version;
         if after < before {
-            self.report.note_broken(format!("host {place} went back from {before} to {after}"));
+            self.report
+                .record_violation(format!("host {place} went back from {before} to {after}"));
         }
         let view = ViewMark { config_version: after, fleet_revision: 0 };
         self.hosts[place].table.set_view(view);
@@ -160,7 +161,7 @@
             return;
         }
         let mut message = datagram.message;
-        if self.sabotage == Sabotage::MuteRefutation {
+        if self.bug == InjectedBug::BlockRefutation {
             let own = self.hosts[target].table.own().incarnation;
             message.updates.retain(|update| update.incarnation != own);
         }
@@ -197,7 +198,7 @@
         let Some(other) = other.filter(|p| self.hosts[*p].alive && !self.is_cut(place, *p)) else {
             return;
         };
-        if self.hosts[other].paused_until > self.now || self.sabotage == Sabotage::MuteRefutation {
+        if self.hosts[other].paused_until > self.now || self.bug == InjectedBug::BlockRefutation {
             return;
         }
         let (ours, theirs) =
@@ -251,7 +252,7 @@
             let version = host.config.current().version;
             if Some(version) != known {
                 let line = format!("host {place} is at version {version}, not {known:?}");
-                self.report.note_broken(line);
+                self.report.record_violation(line);
             }
             let host = &self.hosts[*place];
             for other in living.iter().filter(|other| *other != place) {
@@ -259,7 +260,7 @@
                 let state = host.table.record(update.incarnation).map(|r| r.update.state);
                 if state != Some(MemberState::Alive) {
                     let line = format!("host {place} believes {state:?} of living {other}");
-                    self.report.note_broken(line);
+                    self.report.record_violation(line);
                 }
             }
             let host = &self.hosts[*place];
@@ -274,7 +275,8 @@
             });
             let ghosts = ghosts.count();
             if ghosts > 0 {
-                self.report.note_broken(format!("host {place} believes in {ghosts} dead hosts"));
+                self.report
+                    .record_violation(format!("host {place} believes in {ghosts} dead hosts"));
             }
             self.report.done += 1;
         }
--- a/src/bench/worlds/mod.rs
+++ b/src/bench/worlds/mod.rs
@@ -1,7 +1,7 @@
 //! Worlds drive the shipped machines through long seeded runs with faults.
 //!
 //! Each world fakes what lies outside the machines, drops, delays, doubles and crosses events, and
-//! counts broken promises; the machines assert their own invariants besides. A [`Sabotage`] makes
+//! counts broken promises; the machines assert their own invariants besides. A [`InjectedBug`] makes
 //! the world handle one thing wrongly, so that a test can see the promise break first.
 
 mod claim_parts;
@@ -26,4 +26,4 @@
 pub use send_world::{SendPlan, run_send_plan, run_send_world};
 pub use slot_world::run_slot_world;
 pub use stream_world::run_stream_world;
-pub use world_report::{Sabotage, WorldReport};
+pub use world_report::{InjectedBug, WorldReport};
--- a/src/bench/worlds/send_exchange.rs
+++ b/src/bench/worlds/send_exchange.rs
@@ -1,6 +1,6 @@
 //! What hosts of the world of servers' limits ask and tell each other before they send to servers.
 
-use super::Sabotage;
+use super::InjectedBug;
 use super::send_parts::{OpenSend, SendBody, WorldRequest};
 use super::send_world::{DOMAINS, SendWorld};
 use super::world_host::domain_key;
@@ -34,7 +34,7 @@
                 continue;
             }
             let mut ask = sends.permit_request(age, key, request.rank, PermitPurpose::Send);
-            if self.sabotage == Sabotage::TellNoTrail {
+            if self.bug == InjectedBug::OmitSendHistory {
                 ask.history = SendHistory::default();
             }
             match self.owner(place, server) {
@@ -66,7 +66,7 @@
     pub fn owner(&self, place: usize, server: usize) -> OwnerChoice {
         let host = &self.hosts[place];
         let own = host.update.incarnation;
-        if self.sabotage == Sabotage::GrantAlone {
+        if self.bug == InjectedBug::GrantLocally {
             return OwnerChoice::Own;
         }
         let server = &self.servers[server];
@@ -117,7 +117,7 @@
         let sends = &mut self.hosts[place].tools;
         let is_told =
             sends.limits.limit(key).is_some() && sends.log.recent(age, key, LOG_RETENTION) > 0;
-        if !is_told || self.sabotage == Sabotage::TellNoTrail {
+        if !is_told || self.bug == InjectedBug::OmitSendHistory {
             return;
         }
         let ask = sends.permit_request(age, key, CallRank::default(), PermitPurpose::Report);
--- a/src/bench/worlds/send_flights.rs
+++ b/src/bench/worlds/send_flights.rs
@@ -1,6 +1,6 @@
 //! Requests on their way to servers of the world of servers' limits, and answers on their way back.
 
-use super::Sabotage;
+use super::InjectedBug;
 use super::send_parts::{Flight, SendBody, TOLD_TIME};
 use super::send_world::{DOMAINS, SendWorld};
 use crate::keys::{IncarnationId, TimePoint};
@@ -61,7 +61,7 @@
         let age = host.age(now);
         let key = self.servers[flight.server].key;
         let tools = &mut self.hosts[flight.host].tools;
-        let limit = limit.filter(|_| self.sabotage != Sabotage::IgnoreServerLimits);
+        let limit = limit.filter(|_| self.bug != InjectedBug::IgnoreServerLimits);
         let (change, told) = tools.apply_answer(age, flight.sent_at, key, limit);
         if change.is_some() {
             self.tell_news(flight.host);
@@ -88,7 +88,7 @@
         };
         let broken = self.servers[flight.server].arrive(now, flight.host, is_counted);
         if let Some(line) = broken {
-            self.report.note_broken(line);
+            self.report.record_violation(line);
         }
         self.report.done += 1;
         let is_silent = self.rng.random_bool(SILENT_PART);
--- a/src/bench/worlds/send_world.rs
+++ b/src/bench/worlds/send_world.rs
@@ -3,7 +3,7 @@
 };
 use super::world_host::meet_all;
 use super::world_net::WorldNet;
-use super::{Sabotage, WorldReport};
+use super::{InjectedBug, WorldReport};
 use crate::keys::TimePoint;
 use crate::server_limits::{CallRank, ServerLimit};
 use rand::rngs::StdRng;
@@ -55,13 +55,13 @@
     pub excused_until: Vec<TimePoint>,
     pub open: Vec<OpenSend>,
     pub flights: Vec<Flight>,
-    pub sabotage: Sabotage,
+    pub bug: InjectedBug,
     pub report: WorldReport,
 }
 
 /// Runs the world of servers' limits: hosts of three failure domains, few or many by the seed, before servers that
 /// name limits, lower them, take them back and name them again.
-pub fn run_send_world(seed: u64, steps: u64, sabotage: Sabotage) -> WorldReport {
+pub fn run_send_world(seed: u64, steps: u64, bug: InjectedBug) -> WorldReport {
     let domain_hosts = [2, 2, 7, 30][usize::try_from(seed % 4).unwrap_or_default()];
     let rate = 120;
     let plan = SendPlan {
@@ -72,11 +72,11 @@
         has_faults: true,
         all_limited: seed.is_multiple_of(3),
     };
-    run_send_plan(plan, sabotage)
+    run_send_plan(plan, bug)
 }
 
 /// Runs it as planned.
-pub fn run_send_plan(plan: SendPlan, sabotage: Sabotage) -> WorldReport {
+pub fn run_send_plan(plan: SendPlan, bug: InjectedBug) -> WorldReport {
     let hosts = plan.domain_hosts * DOMAINS;
     let mut world = SendWorld {
         rng: StdRng::seed_from_u64(plan.seed),
@@ -89,7 +89,7 @@
         excused_until: vec![TimePoint::default(); hosts],
         open: Vec::new(),
         flights: Vec::new(),
-        sabotage,
+        bug,
         report: WorldReport::default(),
     };
     for _ in 0..plan.steps {
--- a/src/bench/worlds/slot_world.rs
+++ b/src/bench/worlds/slot_world.rs
@@ -1,4 +1,4 @@
-use super::{Sabotage, WorldReport};
+use super::{InjectedBug, WorldReport};
 use crate::keys::{AttemptId, IncarnationId, TimePoint};
 use crate::orders::OrphanTracker;
 use crate::placement::SlotTable;
@@ -48,13 +48,13 @@
     lives: [IncarnationId; ENTRIES],
     attempts: BTreeMap<AttemptId, EntryAttempt>,
     serial: u64,
-    sabotage: Sabotage,
+    bug: InjectedBug,
     report: WorldReport,
 }
 
 /// Runs the world of one decode server: its owner, entry hosts that die, and an engine that holds
 /// what it was given until it is cancelled.
-pub fn run_slot_world(seed: u64, steps: u64, sabotage: Sabotage) -> WorldReport {
+pub fn run_slot_world(seed: u64, steps: u64, bug: InjectedBug) -> WorldReport {
     let mut world = SlotWorld {
         rng: StdRng::seed_from_u64(seed),
         now: TimePoint::from_millis(1000),
@@ -66,7 +66,7 @@
         lives: [IncarnationId(1), IncarnationId(2), IncarnationId(3)],
         attempts: BTreeMap::new(),
         serial: 0,
-        sabotage,
+        bug,
         report: WorldReport::default(),
     };
     for _ in 0..steps {
@@ -203,7 +203,7 @@
     }
 
     fn poll(&mut self) {
-        if self.sabotage == Sabotage::IgnoreReports {
+        if self.bug == InjectedBug::IgnoreReports {
             return;
         }
         let now = self.now;
@@ -223,7 +223,7 @@
                 self.sweep.mark_disowned(attempt);
             }
         }
-        if self.sabotage == Sabotage::KeepOrphans {
+        if self.bug == InjectedBug::KeepOrphans {
             return;
         }
         for attempt in self.sweep.take_due_cancellations(now) {
@@ -243,12 +243,12 @@
             .collect();
         if !gone.is_empty() {
             let line = format!("the engine holds {} attempts of gone requests", gone.len());
-            self.report.note_broken(line);
+            self.report.record_violation(line);
         }
         let used = self.book.used();
         if used > self.attempts.len() {
             let line = format!("the book holds {used} slots for {}", self.attempts.len());
-            self.report.note_broken(line);
+            self.report.record_violation(line);
         }
     }
 }
--- a/src/bench/worlds/stream_world.rs
+++ b/src/bench/worlds/stream_world.rs
@@ -1,4 +1,4 @@
-use super::{Sabotage, WorldReport};
+use super::{InjectedBug, WorldReport};
 use crate::keys::{AttemptId, IncarnationId};
 use crate::streams::{TokenLedger, TokenVerdict};
 use rand::rngs::StdRng;
@@ -12,17 +12,17 @@
 }
 
 /// Streams answers over attempts that fail, resume and move, with late, doubled and crossed tokens.
-pub fn run_stream_world(seed: u64, steps: u64, sabotage: Sabotage) -> WorldReport {
+pub fn run_stream_world(seed: u64, steps: u64, bug: InjectedBug) -> WorldReport {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut report = WorldReport::default();
     while report.steps < steps {
         report.tried += 1;
-        run_answer(&mut rng, &mut report, steps, sabotage);
+        run_answer(&mut rng, &mut report, steps, bug);
     }
     report
 }
 
-fn run_answer(rng: &mut StdRng, report: &mut WorldReport, steps: u64, sabotage: Sabotage) {
+fn run_answer(rng: &mut StdRng, report: &mut WorldReport, steps: u64, bug: InjectedBug) {
     let total = rng.random_range(1..60);
     let mut ledger = TokenLedger::new();
     let mut flying: Vec<FlyingToken> = Vec::new();
@@ -52,7 +52,7 @@
             attempt.serial += 1;
             ledger.switch_to(attempt);
             producing = ledger.next_index();
-            if sabotage == Sabotage::CountOpenAsToken {
+            if bug == InjectedBug::CountOpenAsToken {
                 producing += 1;
             }
         }
@@ -61,12 +61,12 @@
             let token = flying.remove(0);
             match ledger.admit(token.attempt, token.index) {
                 TokenVerdict::Write => written.push(token.index),
-                TokenVerdict::Stale if sabotage == Sabotage::AcceptCrossed => {
+                TokenVerdict::Stale if bug == InjectedBug::AcceptStaleTokens => {
                     written.push(token.index);
                 }
                 // A gap breaks the attempt: it is resumed from the next index.
                 TokenVerdict::Gap if token.attempt == attempt => {
-                    if sabotage == Sabotage::CountOpenAsToken {
+                    if bug == InjectedBug::CountOpenAsToken {
                         written.push(token.index);
                     }
                     producing = producing.min(ledger.next_index());
@@ -81,7 +81,7 @@
     let in_order = written.iter().enumerate().all(|(place, index)| place as u32 == *index);
     let whole = ledger.finish(attempt, total);
     if !in_order || ledger.finish(attempt, total) {
-        report.note_broken(format!("wrote {written:?} of {total}"));
+        report.record_violation(format!("wrote {written:?} of {total}"));
     }
     report.done += u64::from(whole);
 }
--- a/src/bench/worlds/world_report.rs
+++ b/src/bench/worlds/world_report.rs
@@ -1,35 +1,35 @@
 /// One thing handled wrongly on purpose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Sabotage {
+pub enum InjectedBug {
     /// Everything as shipped.
     #[default]
     None,
     /// A write whose answer was lost is taken as done, without reading it back.
-    TrustLostWrite,
+    AssumeWriteSucceeded,
     /// A repeat that finds another's claim is told "not run" without asking the claimant.
-    SpeakForOthers,
+    SkipClaimantCheck,
     /// Orphans are never cancelled.
     KeepOrphans,
     /// Engine reports are not compared with the book.
     IgnoreReports,
     /// Tokens of given-up attempts are written.
-    AcceptCrossed,
+    AcceptStaleTokens,
     /// A resumed stream restarts at index one after the open (the paper's July fault).
     CountOpenAsToken,
     /// Older configurations are adopted too.
-    AdoptOlder,
+    AdoptOlderConfig,
     /// Suspected hosts never hear of it.
-    MuteRefutation,
+    BlockRefutation,
     /// An owner hands out its domain's whole part, however few of the domain's hosts it sees.
-    OwnWholePart,
+    GrantWholeShare,
     /// An owner keeps what it saved up while others own its organisations, or while it is suspended.
-    KeepLostAccounts,
+    KeepStaleAccounts,
     /// Limits that servers name are not read.
     IgnoreServerLimits,
     /// Each host grants itself what a server's limit allows.
-    GrantAlone,
+    GrantLocally,
     /// Hosts do not tell owners what they sent.
-    TellNoTrail,
+    OmitSendHistory,
 }
 
 /// What a world saw.
@@ -46,14 +46,14 @@
     /// What was used of what servers' limits allowed, in thousandths.
     pub used_permille: u64,
     /// Broken promises, each in a line.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 impl WorldReport {
     /// Notes a broken promise.
-    pub fn note_broken(&mut self, line: String) {
-        if self.broken.len() < 20 {
-            self.broken.push(line);
+    pub fn record_violation(&mut self, line: String) {
+        if self.violations.len() < 20 {
+            self.violations.push(line);
         }
     }
 }
--- a/src/bin/tealcleat-load/soak.rs
+++ b/src/bin/tealcleat-load/soak.rs
@@ -1,11 +1,11 @@
 //! Long seeded simulations of the shipped state machines.
 
 use tealcleat::bench::worlds::{
-    Sabotage, WorldReport, run_claim_world, run_limit_world, run_member_world, run_send_world,
+    InjectedBug, WorldReport, run_claim_world, run_limit_world, run_member_world, run_send_world,
     run_slot_world, run_stream_world,
 };
 
-type World = fn(u64, u64, Sabotage) -> WorldReport;
+type World = fn(u64, u64, InjectedBug) -> WorldReport;
 
 const WORLDS: [(&str, World); 6] = [
     ("claims", run_claim_world),
@@ -21,7 +21,7 @@
     let mut all_passed = true;
     for (name, world) in WORLDS {
         for seed in first_seed..first_seed + seeds {
-            let report = world(seed, steps, Sabotage::None);
+            let report = world(seed, steps, InjectedBug::None);
             println!(
                 "world={name} seed={seed} steps={} tried={} done={} faults={} used_permille={} broken={}",
                 report.steps,
@@ -29,12 +29,12 @@
                 report.done,
                 report.faults,
                 report.used_permille,
-                report.broken.len()
+                report.violations.len()
             );
-            for line in &report.broken {
+            for line in &report.violations {
                 println!("  {line}");
             }
-            all_passed &= report.broken.is_empty();
+            all_passed &= report.violations.is_empty();
         }
     }
     let violations = tealcleat::invariant::violations();
--- a/tests/worlds.rs
+++ b/tests/worlds.rs
@@ -2,11 +2,11 @@
 
 use rstest::rstest;
 use tealcleat::bench::worlds::{
-    Sabotage, SendPlan, WorldReport, run_claim_world, run_limit_world, run_member_world,
+    InjectedBug, SendPlan, WorldReport, run_claim_world, run_limit_world, run_member_world,
     run_send_plan, run_send_world, run_slot_world, run_stream_world,
 };
 
-type World = fn(u64, u64, Sabotage) -> WorldReport;
+type World = fn(u64, u64, InjectedBug) -> WorldReport;
 
 #[rstest]
 #[case::claims(run_claim_world, 30_000)]
@@ -16,29 +16,25 @@
 #[case::limits(run_limit_world, 8_000)]
 #[case::server_limits(run_send_world, 6_000)]
 fn world_keeps_promises(#[case] world: World, #[case] steps: u64, #[values(1, 2, 3, 4)] seed: u64) {
-    let report = world(seed, steps, Sabotage::None);
-    assert_eq!(report.broken, Vec::<String>::new());
+    let report = world(seed, steps, InjectedBug::None);
+    assert_eq!(report.violations, Vec::<String>::new());
     assert!(report.done > 0 && report.faults > 0, "{report:?}");
 }
 
 #[rstest]
-#[case::lost_write_trusted(run_claim_world, 30_000, Sabotage::TrustLostWrite)]
-#[case::not_run_said_for_others(run_claim_world, 30_000, Sabotage::SpeakForOthers)]
-#[case::orphans_kept(run_slot_world, 20_000, Sabotage::KeepOrphans)]
-#[case::reports_ignored(run_slot_world, 20_000, Sabotage::IgnoreReports)]
-#[case::crossed_tokens_written(run_stream_world, 100_000, Sabotage::AcceptCrossed)]
-#[case::open_counted_as_token(run_stream_world, 100_000, Sabotage::CountOpenAsToken)]
-#[case::older_config_adopted(run_member_world, 12_000, Sabotage::AdoptOlder)]
-#[case::refutation_muted(run_member_world, 12_000, Sabotage::MuteRefutation)]
-#[case::whole_part_owned(run_limit_world, 20_000, Sabotage::OwnWholePart)]
-#[case::servers_granted_by_each_host(run_send_world, 6_000, Sabotage::GrantAlone)]
-fn world_breaks_when_sabotaged(
-    #[case] world: World,
-    #[case] steps: u64,
-    #[case] sabotage: Sabotage,
-) {
-    let broken: usize = (1..=4).map(|seed| world(seed, steps, sabotage).broken.len()).sum();
-    assert!(broken > 0, "the run does not notice {sabotage:?}");
+#[case::lost_write_trusted(run_claim_world, 30_000, InjectedBug::AssumeWriteSucceeded)]
+#[case::not_run_said_for_others(run_claim_world, 30_000, InjectedBug::SkipClaimantCheck)]
+#[case::orphans_kept(run_slot_world, 20_000, InjectedBug::KeepOrphans)]
+#[case::reports_ignored(run_slot_world, 20_000, InjectedBug::IgnoreReports)]
+#[case::crossed_tokens_written(run_stream_world, 100_000, InjectedBug::AcceptStaleTokens)]
+#[case::open_counted_as_token(run_stream_world, 100_000, InjectedBug::CountOpenAsToken)]
+#[case::older_config_adopted(run_member_world, 12_000, InjectedBug::AdoptOlderConfig)]
+#[case::refutation_muted(run_member_world, 12_000, InjectedBug::BlockRefutation)]
+#[case::whole_part_owned(run_limit_world, 20_000, InjectedBug::GrantWholeShare)]
+#[case::servers_granted_by_each_host(run_send_world, 6_000, InjectedBug::GrantLocally)]
+fn world_breaks_when_sabotaged(#[case] world: World, #[case] steps: u64, #[case] bug: InjectedBug) {
+    let broken: usize = (1..=4).map(|seed| world(seed, steps, bug).violations.len()).sum();
+    assert!(broken > 0, "the run does not notice {bug:?}");
 }
 
 #[rstest]
@@ -49,7 +45,7 @@
 #[case::limits(run_limit_world)]
 #[case::server_limits(run_send_world)]
 fn world_repeats_for_a_seed(#[case] world: World) {
-    assert_eq!(world(9, 4000, Sabotage::None), world(9, 4000, Sabotage::None));
+    assert_eq!(world(9, 4000, InjectedBug::None), world(9, 4000, InjectedBug::None));
 }
 
 /// Seeds that break the limit when a mend is taken back: 1, if hosts take the next one for the owner while the
@@ -58,23 +54,23 @@
 /// an earlier shape of the world.
 #[rstest]
 fn limit_kept_where_it_was_broken(#[values(1, 3, 4, 6, 14, 43, 64)] seed: u64) {
-    let report = run_limit_world(seed, 20_000, Sabotage::None);
-    assert_eq!(report.broken, Vec::<String>::new());
+    let report = run_limit_world(seed, 20_000, InjectedBug::None);
+    assert_eq!(report.violations, Vec::<String>::new());
 }
 
 /// Guards against owners that keep what they saved up while others were the owners: these seeds break the limit then.
 #[rstest]
 fn limit_kept_by_owners_that_come_and_go(#[values(125, 149, 211)] seed: u64) {
-    let kept = run_limit_world(seed, 20_000, Sabotage::KeepLostAccounts);
-    assert!(!kept.broken.is_empty(), "the run does not notice");
-    let report = run_limit_world(seed, 20_000, Sabotage::None);
-    assert_eq!(report.broken, Vec::<String>::new());
+    let kept = run_limit_world(seed, 20_000, InjectedBug::KeepStaleAccounts);
+    assert!(!kept.violations.is_empty(), "the run does not notice");
+    let report = run_limit_world(seed, 20_000, InjectedBug::None);
+    assert_eq!(report.violations, Vec::<String>::new());
 }
 
 #[rstest]
 fn server_limits_break_on_each_seed_when_ignored(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
-    let report = run_send_world(seed, 3_000, Sabotage::IgnoreServerLimits);
-    assert!(!report.broken.is_empty(), "the run does not notice on seed {seed}");
+    let report = run_send_world(seed, 3_000, InjectedBug::IgnoreServerLimits);
+    assert!(!report.violations.is_empty(), "the run does not notice on seed {seed}");
 }
 
 /// Of what comes in the seconds before a limit is named, owners know by what hosts tell.
@@ -88,9 +84,9 @@
         has_faults: false,
         all_limited: true,
     };
-    assert_eq!(run_send_plan(plan, Sabotage::None).broken, Vec::<String>::new());
-    let report = run_send_plan(plan, Sabotage::TellNoTrail);
-    assert!(!report.broken.is_empty(), "the run does not notice on seed {seed}");
+    assert_eq!(run_send_plan(plan, InjectedBug::None).violations, Vec::<String>::new());
+    let report = run_send_plan(plan, InjectedBug::OmitSendHistory);
+    assert!(!report.violations.is_empty(), "the run does not notice on seed {seed}");
 }
 
 /// What limits allow is used while there is more to send, however many hosts there are.
@@ -104,8 +100,8 @@
         has_faults: false,
         all_limited: true,
     };
-    let report = run_send_plan(plan, Sabotage::None);
-    assert_eq!(report.broken, Vec::<String>::new());
+    let report = run_send_plan(plan, InjectedBug::None);
+    assert_eq!(report.violations, Vec::<String>::new());
     assert!(report.used_permille >= 800, "{} of 1000", report.used_permille);
 }
 
@@ -113,8 +109,8 @@
 /// the second before it named two a second; 393 and 489, in which some answers left the limit out by chance.
 #[rstest]
 fn server_limit_kept_where_it_was_broken(#[values(192, 393, 489)] seed: u64) {
-    let report = run_send_world(seed, 6_000, Sabotage::None);
-    assert_eq!(report.broken, Vec::<String>::new());
+    let report = run_send_world(seed, 6_000, InjectedBug::None);
+    assert_eq!(report.violations, Vec::<String>::new());
 }
 
 #[test]
@@ -127,7 +123,7 @@
         has_faults: true,
         all_limited: true,
     };
-    let report = run_send_plan(plan, Sabotage::None);
-    assert_eq!(report.broken, Vec::<String>::new());
+    let report = run_send_plan(plan, InjectedBug::None);
+    assert_eq!(report.violations, Vec::<String>::new());
     assert!(report.faults > 0 && report.done > 0, "{report:?}");
 }
