--- a/src/bin/tealcleat-load/demo.rs
+++ b/src/bin/tealcleat-load/demo.rs
@@ -1,4 +1,4 @@
-//! Exercises the complete path once: start, configuration, requests, failures and shutdown.
+//! Exercises the complete path once: configuration, streams, at-most-once calls, a stale plan and the loss of a host.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
--- a/src/bin/tealcleat-standins/app.rs
+++ b/src/bin/tealcleat-standins/app.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 pub struct Config {
-    /// The systems to replace, as JSON
+    /// Plan of the systems to imitate, as JSON
     #[bpaf(positional("PLAN"))]
     pub plan: PathBuf,
 }
--- a/src/bin/tealcleat/controller.rs
+++ b/src/bin/tealcleat/controller.rs
@@ -31,7 +31,7 @@
         Command::Check { file } => check(file),
         Command::Plan { file } => {
             let source = SourceText::read(file)?;
-            // A check before the request reports findings with their location in the file.
+            // Checks the intent locally first, so that findings show their location in the file.
             check_text(&source)?;
             let text = send_request(config, "POST", "/plan", &source.text)?;
             report_reply(config, &text, file)
--- a/src/telemetry/bounded_writer.rs
+++ b/src/telemetry/bounded_writer.rs
@@ -33,11 +33,11 @@
         let refill = now.duration_since(self.refilled_at).as_secs_f64() * LINES_PER_SECOND;
         self.tokens = (self.tokens + refill).min(BURST_LINES);
         self.refilled_at = now;
-        let allowed = self.tokens >= 1.0;
-        if allowed {
+        let is_allowed = self.tokens >= 1.0;
+        if is_allowed {
             self.tokens -= 1.0;
         }
-        allowed
+        is_allowed
     }
 }
 
--- a/src/telemetry/metric_registry.rs
+++ b/src/telemetry/metric_registry.rs
@@ -7,7 +7,7 @@
 /// Longest duration that a histogram records, in microseconds; longer ones count as this long.
 const MAX_MICROS: u64 = 600_000_000;
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.95, 0.99];
-/// Durations of further series are recorded under `other`, so that callers cannot exhaust the memory.
+/// Most duration series; further ones are recorded under `other`, so that callers cannot exhaust the memory.
 const MAX_SERIES: usize = 2000;
 
 /// How a request ended.
