--- a/src/bench/soak/soak_answer.rs
+++ b/src/bench/soak/answer_fault.rs
@@ -1,24 +1,24 @@
-//! What may be wrong with a backend server's answers, and the bytes of such answers.
+//! Faults in the answers of a backend server, and the bytes of such answers.
 
 use bytes::{Bytes, BytesMut};
 
-/// What a link does to answers that pass through it.
+/// What a link does to the answers that it forwards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AnswerFault {
-    /// They are given again after a random short while, also while their connection rests.
+    /// Sends each answer again after a short random delay, even if the connection is idle.
     LateCopy,
-    /// They are given again when the next request has arrived, ahead of its own answer.
+    /// Sends each answer again when the next request has arrived, before the answer to that request.
     CopyAhead,
-    /// They are given again at once.
+    /// Sends each answer again immediately.
     CopyBehind,
-    /// They have no length and end with their connection.
+    /// Sends the answer without a length; the end of the connection ends it.
     Unframed,
-    /// They have no length, and are given again at once.
+    /// Sends the answer twice in a row, without a length.
     UnframedTwice,
-    /// They have no length, and their connection is reset in the middle of them. One that is closed there
-    /// cannot be told from a whole one, and the platform counts it as such.
+    /// Sends the answer without a length and resets the connection in the middle of it. If the connection were closed
+    /// there, the answer could not be distinguished from a complete one, and the platform counts it as complete.
     UnframedReset,
-    /// Their connection is reset in the middle of them.
+    /// Resets the connection in the middle of the answer.
     ResetMidway,
 }
 
@@ -34,12 +34,12 @@
     ];
 }
 
-/// The same answer without a length: its end is the end of its connection.
+/// Returns the same answer without a length, so that the end of the connection marks its end.
 pub(super) fn without_length(answer: &[u8]) -> Bytes {
-    let Some(end) = answer.windows(4).position(|window| window == b"\r\n\r\n") else {
+    let Some(head_end) = answer.windows(4).position(|window| window == b"\r\n\r\n") else {
         return Bytes::copy_from_slice(answer);
     };
-    let (head, body) = (&answer[..end], &answer[end + 4..]);
+    let (head, body) = (&answer[..head_end], &answer[head_end + 4..]);
     let mut bytes = BytesMut::new();
     let mut is_chunked = false;
     for line in head.split(|byte| *byte == b'\n') {
@@ -61,7 +61,7 @@
     bytes.freeze()
 }
 
-/// Adds what the chunks of a whole body hold.
+/// Appends the contents of the chunks of a complete body.
 fn extend_from_chunks(bytes: &mut BytesMut, body: &[u8]) {
     let mut rest = body;
     while let Some(line) = rest.windows(2).position(|pair| pair == b"\r\n") {
--- a/src/bench/soak/answer_link.rs
+++ b/src/bench/soak/answer_link.rs
@@ -1,7 +1,7 @@
-//! A loopback link before a backend server that knows where answers begin and end.
+//! A loopback link to a backend server. It knows where each answer begins and ends.
 
+use super::answer_fault::{AnswerFault, without_length};
 use super::link_listener::accept_all;
-use super::soak_answer::{AnswerFault, without_length};
 use crate::Result;
 use crate::bench::links::{connect_as, reset};
 use crate::bench::site::{IncarnationSwitch, message_end};
@@ -16,15 +16,15 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Part of the answers that a fault strikes.
-const FAULTY_PART: f64 = 0.5;
-/// A copy leaves at most this long after its answer.
-const LONGEST_LATE_MS: u64 = 60;
-/// Longest work on a request while answers go wrong: as long as a prompt takes to read, so that requests
-/// can arrive before the answer to the last one has left.
-const LONGEST_WORK_MS: u64 = 120;
+/// Probability that a fault affects an answer.
+const FAULT_PROBABILITY: f64 = 0.5;
+/// Longest delay between an answer and its late copy.
+const MAX_COPY_DELAY_MS: u64 = 60;
+/// Longest time for which an answer is held back while a fault is set. It is as long as a prompt takes to read, so
+/// that a request can arrive before the answer to the previous one has been sent.
+const MAX_WORK_MS: u64 = 120;
 
-/// A link that passes everything on until its server's answers are to go wrong.
+/// A link that forwards everything unchanged until a fault is set for its server's answers.
 #[derive(Debug)]
 pub(super) struct AnswerLink {
     pub address: SocketAddr,
@@ -33,126 +33,137 @@
 }
 
 impl AnswerLink {
-    /// Starts a link to `target`; `seed` draws which answers go wrong.
+    /// Starts a link to `target`. `seed` determines which answers a fault affects.
     pub async fn start(target: SocketAddr, seed: u64) -> Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (fault, faults) = watch::channel(None);
-        let (is_open, opens) = watch::channel(true);
-        tokio::spawn(accept_all(listener, address, target, opens, faults, seed));
+        let (fault, fault_receiver) = watch::channel(None);
+        let (is_open, open_receiver) = watch::channel(true);
+        tokio::spawn(accept_all(listener, address, target, open_receiver, fault_receiver, seed));
         Ok(Self { address, fault, is_open })
     }
 
-    /// Refuses connections while the server is down that has these lives.
-    pub fn follow(&self, lives: IncarnationSwitch) {
+    /// Refuses connections while the server that `incarnations` belongs to is down.
+    pub fn refuse_while_down(&self, incarnations: IncarnationSwitch) {
         let is_open = self.is_open.clone();
         tokio::spawn(async move {
             loop {
-                lives.crashed().await;
+                incarnations.crashed().await;
                 is_open.send_replace(false);
-                lives.restarted().await;
+                incarnations.restarted().await;
                 is_open.send_replace(true);
             }
         });
     }
 
-    /// Lets answers go wrong, or right again.
-    pub fn set(&self, fault: Option<AnswerFault>) {
+    /// Sets the fault that affects answers, or clears it.
+    pub fn set_fault(&self, fault: Option<AnswerFault>) {
         self.fault.send_replace(fault);
     }
 }
 
-pub(super) async fn carry(
-    near: TcpStream,
+/// Connects to `target` for a client and forwards both directions until one of them ends.
+pub(super) async fn forward_connection(
+    client: TcpStream,
     target: SocketAddr,
     faults: watch::Receiver<Option<AnswerFault>>,
     random: StdRng,
 ) -> Result<()> {
-    let far = connect_as(near.peer_addr()?.ip(), target).await?;
-    near.set_nodelay(true)?;
-    far.set_nodelay(true)?;
-    let (near_read, to) = near.into_split();
-    let (from, far_write) = far.into_split();
-    let (asked, asks) = watch::channel(());
+    let server = connect_as(client.peer_addr()?.ip(), target).await?;
+    client.set_nodelay(true)?;
+    server.set_nodelay(true)?;
+    let (client_read, to) = client.into_split();
+    let (from, server_write) = server.into_split();
+    let (request_signal, requests) = watch::channel(());
     let buffer = BytesMut::new();
-    let pump = AnswerPump { from, to, buffer, faults, asks, late: None, is_reset: false, random };
-    // When one way ends, both sockets are dropped: that breaks the other way off.
+    let relay = AnswerRelay {
+        from,
+        to,
+        buffer,
+        faults,
+        requests,
+        pending_copy: None,
+        needs_reset: false,
+        random,
+    };
+    // When one direction ends, both sockets are dropped, which closes the other direction as well.
     tokio::select! {
-        ended = pass_requests(near_read, far_write, asked) => ended,
-        ended = pump.run() => ended,
+        ended = forward_requests(client_read, server_write, request_signal) => ended,
+        ended = relay.run() => ended,
     }
 }
 
-async fn pass_requests(
+/// Forwards requests and signals their arrival.
+async fn forward_requests(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    asked: watch::Sender<()>,
+    request_signal: watch::Sender<()>,
 ) -> Result<()> {
     let mut buffer = BytesMut::new();
     while from.read_buf(&mut buffer).await? > 0 {
-        // Before the server can have answered.
-        asked.send_replace(());
+        // The signal comes before the request is forwarded, and thus before the server can answer it.
+        request_signal.send_replace(());
         to.write_all(&buffer).await?;
         buffer.clear();
     }
     Ok(())
 }
 
-/// An answer that is to be given once more.
+/// An answer that will be sent a second time.
 #[derive(Debug)]
-struct LateCopy {
+struct PendingCopy {
     answer: Bytes,
-    leaves: CopyTime,
+    due: CopyTime,
 }
 
-/// When a copy leaves.
+/// When a copy is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CopyTime {
     At(Instant),
     NextRequest,
 }
 
-/// Passes the answers of one connection on.
+/// Forwards the answers of one connection.
 #[derive(Debug)]
-struct AnswerPump {
+struct AnswerRelay {
     from: OwnedReadHalf,
     to: OwnedWriteHalf,
-    /// What was read of the server's answers and does not belong to one that was passed on.
+    /// Bytes that were read from the server and do not belong to an answer that was already forwarded.
     buffer: BytesMut,
     faults: watch::Receiver<Option<AnswerFault>>,
-    /// Changes when bytes of requests have arrived.
-    asks: watch::Receiver<()>,
-    late: Option<LateCopy>,
-    /// The connection ends with a reset.
-    is_reset: bool,
+    /// Changes when bytes of a request have arrived.
+    requests: watch::Receiver<()>,
+    pending_copy: Option<PendingCopy>,
+    /// Whether the connection ends with a reset.
+    needs_reset: bool,
     random: StdRng,
 }
 
-impl AnswerPump {
+impl AnswerRelay {
     async fn run(mut self) -> Result<()> {
-        while self.answer_comes().await? {
-            let struck = *self.faults.borrow();
-            if struck.is_some() {
-                let work = self.random.random_range(0..LONGEST_WORK_MS);
-                sleep(Duration::from_millis(work)).await;
+        while self.wait_for_answer().await? {
+            let fault = *self.faults.borrow();
+            if fault.is_some() {
+                let work_ms = self.random.random_range(0..MAX_WORK_MS);
+                sleep(Duration::from_millis(work_ms)).await;
             }
-            let fault = struck.filter(|_| self.random.random_bool(FAULTY_PART));
-            if !self.give(fault).await? {
+            let fault = fault.filter(|_| self.random.random_bool(FAULT_PROBABILITY));
+            if !self.send_answer(fault).await? {
                 break;
             }
         }
-        if self.is_reset {
+        if self.needs_reset {
             reset(self.to);
         }
         Ok(())
     }
 
-    /// Waits for the next answer; false if the server has closed the connection.
-    async fn answer_comes(&mut self) -> Result<bool> {
+    /// Waits for the next answer. Returns false if the server has closed the connection.
+    async fn wait_for_answer(&mut self) -> Result<bool> {
         while self.buffer.is_empty() {
             tokio::select! {
                 biased;
-                () = copy_due(self.late.as_ref(), &mut self.asks) => self.give_copy().await?,
+                () = copy_due(self.pending_copy.as_ref(), &mut self.requests) => self.send_copy().await?,
                 read = self.from.read_buf(&mut self.buffer) => {
                     if read? == 0 {
                         return Ok(false);
@@ -163,44 +174,45 @@
         Ok(true)
     }
 
-    /// Gives the copy that is due, unless the server has come right meanwhile.
-    async fn give_copy(&mut self) -> Result<()> {
-        if let Some(late) = self.late.take().filter(|_| self.faults.borrow().is_some()) {
-            self.to.write_all(&late.answer).await?;
+    /// Sends the copy that is due, unless the fault has been cleared meanwhile.
+    async fn send_copy(&mut self) -> Result<()> {
+        if let Some(copy) = self.pending_copy.take().filter(|_| self.faults.borrow().is_some()) {
+            self.to.write_all(&copy.answer).await?;
         }
         Ok(())
     }
 
-    /// Gives an answer; false if its connection ends with it.
-    async fn give(&mut self, fault: Option<AnswerFault>) -> Result<bool> {
-        // A request that arrives from now on is the next one.
-        self.asks.borrow_and_update();
+    /// Sends an answer. Returns false if the connection ends with this answer.
+    async fn send_answer(&mut self, fault: Option<AnswerFault>) -> Result<bool> {
+        // A request that arrives from now on counts as the next request.
+        self.requests.borrow_and_update();
         match fault {
-            None => Ok(self.pass_answer().await?.is_some()),
+            None => Ok(self.forward_answer().await?.is_some()),
             Some(AnswerFault::LateCopy) => {
-                let late = Duration::from_millis(self.random.random_range(0..LONGEST_LATE_MS));
-                self.pass_doubled(CopyTime::At(Instant::now() + late)).await
+                let delay = Duration::from_millis(self.random.random_range(0..MAX_COPY_DELAY_MS));
+                self.forward_and_copy(CopyTime::At(Instant::now() + delay)).await
             }
-            Some(AnswerFault::CopyAhead) => self.pass_doubled(CopyTime::NextRequest).await,
-            Some(AnswerFault::CopyBehind) => self.give_twice().await,
-            Some(AnswerFault::Unframed) => self.give_unframed(|answer| answer).await,
+            Some(AnswerFault::CopyAhead) => self.forward_and_copy(CopyTime::NextRequest).await,
+            Some(AnswerFault::CopyBehind) => self.send_twice().await,
+            Some(AnswerFault::Unframed) => self.send_unframed(|answer| answer).await,
             Some(AnswerFault::UnframedTwice) => {
-                self.give_unframed(|answer| [&answer[..], &answer[..]].concat().into()).await
+                self.send_unframed(|answer| [&answer[..], &answer[..]].concat().into()).await
             }
             Some(AnswerFault::UnframedReset) => {
-                self.give_reset(|answer| without_length(&answer)).await
+                self.send_and_reset(|answer| without_length(&answer)).await
             }
-            Some(AnswerFault::ResetMidway) => self.give_reset(|answer| answer).await,
+            Some(AnswerFault::ResetMidway) => self.send_and_reset(|answer| answer).await,
         }
     }
 
-    async fn pass_doubled(&mut self, leaves: CopyTime) -> Result<bool> {
-        let answer = self.pass_answer().await?;
-        self.late = answer.map(|answer| LateCopy { answer, leaves });
-        Ok(self.late.is_some())
+    /// Forwards an answer and schedules a copy of it.
+    async fn forward_and_copy(&mut self, due: CopyTime) -> Result<bool> {
+        let answer = self.forward_answer().await?;
+        self.pending_copy = answer.map(|answer| PendingCopy { answer, due });
+        Ok(self.pending_copy.is_some())
     }
 
-    async fn give_twice(&mut self) -> Result<bool> {
+    async fn send_twice(&mut self) -> Result<bool> {
         let Some(answer) = self.read_answer().await? else {
             return Ok(false);
         };
@@ -208,32 +220,32 @@
         Ok(true)
     }
 
-    /// Gives an answer without a length, and what `alter` makes of it.
-    async fn give_unframed(&mut self, alter: impl FnOnce(Bytes) -> Bytes) -> Result<bool> {
+    /// Removes the length from an answer and sends what `alter` makes of the result.
+    async fn send_unframed(&mut self, alter: impl FnOnce(Bytes) -> Bytes) -> Result<bool> {
         if let Some(answer) = self.read_answer().await? {
             self.to.write_all(&alter(without_length(&answer))).await?;
         }
         Ok(false)
     }
 
-    /// Gives the first part of what `alter` makes of an answer, and resets the connection.
-    async fn give_reset(&mut self, alter: impl FnOnce(Bytes) -> Bytes) -> Result<bool> {
+    /// Sends the first part of what `alter` makes of an answer, then resets the connection.
+    async fn send_and_reset(&mut self, alter: impl FnOnce(Bytes) -> Bytes) -> Result<bool> {
         if let Some(answer) = self.read_answer().await? {
             let answer = alter(answer);
-            self.to.write_all(&answer[..cut_place(&answer)]).await?;
-            self.is_reset = true;
+            self.to.write_all(&answer[..cut_position(&answer)]).await?;
+            self.needs_reset = true;
         }
         Ok(false)
     }
 
-    /// Reads an answer and passes it on as it comes; `None` if the server breaks it off.
-    async fn pass_answer(&mut self) -> Result<Option<Bytes>> {
-        let mut passed = 0;
+    /// Forwards an answer while it is being read. Returns `None` if the server breaks it off.
+    async fn forward_answer(&mut self) -> Result<Option<Bytes>> {
+        let mut forwarded = 0;
         loop {
             let end = message_end(&self.buffer);
             let known = end.unwrap_or(self.buffer.len());
-            self.to.write_all(&self.buffer[passed..known]).await?;
-            passed = known;
+            self.to.write_all(&self.buffer[forwarded..known]).await?;
+            forwarded = known;
             if let Some(end) = end {
                 return Ok(Some(self.buffer.split_to(end).freeze()));
             }
@@ -243,7 +255,7 @@
         }
     }
 
-    /// Reads an answer; `None` if the server breaks it off.
+    /// Reads a complete answer. Returns `None` if the server breaks it off.
     async fn read_answer(&mut self) -> Result<Option<Bytes>> {
         loop {
             if let Some(end) = message_end(&self.buffer) {
@@ -256,17 +268,18 @@
     }
 }
 
-/// Returns when a copy is to leave; never if there is none.
-async fn copy_due(late: Option<&LateCopy>, asks: &mut watch::Receiver<()>) {
-    match late.map(|late| late.leaves) {
+/// Waits until the pending copy is due. Never returns if there is none.
+async fn copy_due(copy: Option<&PendingCopy>, requests: &mut watch::Receiver<()>) {
+    match copy.map(|copy| copy.due) {
         Some(CopyTime::At(time)) => sleep_until(time).await,
-        Some(CopyTime::NextRequest) if asks.changed().await.is_ok() => {}
+        Some(CopyTime::NextRequest) if requests.changed().await.is_ok() => {}
         _ => std::future::pending().await,
     }
 }
 
-/// Where an answer is cut: within its body, if it has one.
-fn cut_place(answer: &[u8]) -> usize {
-    let head = answer.windows(4).position(|window| window == b"\r\n\r\n").map_or(0, |end| end + 4);
-    head + (answer.len() - head) / 2
+/// Returns the position at which an answer is cut: the middle of its body, if it has one.
+fn cut_position(answer: &[u8]) -> usize {
+    let head_length =
+        answer.windows(4).position(|window| window == b"\r\n\r\n").map_or(0, |end| end + 4);
+    head_length + (answer.len() - head_length) / 2
 }
--- a/src/bench/soak/link_listener.rs
+++ b/src/bench/soak/link_listener.rs
@@ -1,7 +1,7 @@
-//! Accepts the connections of a link before a backend server, and refuses them while it is down.
+//! Accepts connections on behalf of a backend server, and refuses them while that server is down.
 
-use super::answer_link::carry;
-use super::soak_answer::AnswerFault;
+use super::answer_fault::AnswerFault;
+use super::answer_link::forward_connection;
 use crate::bench::site::rebind_listener;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -9,12 +9,12 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Accepts connections at `address` while `opens` says so, and carries them to `target`.
+/// Accepts connections at `address` while `is_open` holds true, and forwards them to `target`.
 pub(super) async fn accept_all(
     listener: TcpListener,
     address: SocketAddr,
     target: SocketAddr,
-    mut opens: watch::Receiver<bool>,
+    mut is_open: watch::Receiver<bool>,
     faults: watch::Receiver<Option<AnswerFault>>,
     seed: u64,
 ) {
@@ -23,25 +23,25 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => Some(accepted),
-            () = turned(&mut opens, false) => None,
+            () = wait_until(&mut is_open, false) => None,
         };
         let Some(accepted) = accepted else {
             drop(listener);
-            turned(&mut opens, true).await;
+            wait_until(&mut is_open, true).await;
             listener = rebind_listener(address).await;
             continue;
         };
-        let Ok((near, _)) = accepted else { return };
+        let Ok((client, _)) = accepted else { return };
         let random = StdRng::seed_from_u64(seeds.random());
         let faults = faults.clone();
-        // Whoever breaks off first ends both sides.
-        tokio::spawn(async move { drop(carry(near, target, faults, random).await) });
+        // When either side ends its connection, both connections are closed.
+        tokio::spawn(async move { drop(forward_connection(client, target, faults, random).await) });
     }
 }
 
-/// Waits until a link is open or not; for ever if it is gone.
-async fn turned(opens: &mut watch::Receiver<bool>, wanted: bool) {
-    if opens.wait_for(|is_open| *is_open == wanted).await.is_err() {
+/// Waits until `is_open` holds `expected`. Never returns if the link has been dropped.
+async fn wait_until(is_open: &mut watch::Receiver<bool>, expected: bool) {
+    if is_open.wait_for(|is_open| *is_open == expected).await.is_err() {
         std::future::pending().await
     }
 }
--- a/src/bench/soak/mod.rs
+++ b/src/bench/soak/mod.rs
@@ -1,25 +1,25 @@
-//! A randomised soak: real daemons as processes of their own, with faults injected from outside.
+//! A randomised soak test: it runs real daemons as separate processes and injects faults from outside.
 //!
-//! Stand-ins run in this process, and loopback proxies lie between them and the daemons. What
-//! callers and backend servers see is checked while it runs and once more when all is calm.
+//! The stand-ins run in this process, and loopback proxies connect the daemons to them. The soak test checks what
+//! callers and backend servers see while faults are injected, and again after all faults have ended.
 
+mod answer_fault;
 mod answer_link;
+mod fault_log;
+mod host_disruption;
 mod link_listener;
-mod soak_answer;
-mod soak_ask;
+mod partition_group;
+mod propagation_probe;
 mod soak_burst;
 mod soak_caller;
-mod soak_calm;
 mod soak_check;
 mod soak_config;
-mod soak_cut;
+mod soak_disruption;
 mod soak_fault;
-mod soak_force;
 mod soak_inject;
 mod soak_limits;
+mod soak_recovery;
 mod soak_run;
-mod soak_shock;
-mod soak_trace;
 
 pub use soak_check::{SoakReport, SoakViolation};
 pub use soak_run::{SoakOptions, run_soak};
--- a/src/bench/soak/soak_caller.rs
+++ b/src/bench/soak/soak_caller.rs
@@ -8,86 +8,89 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Longest pause of a caller between two requests.
-const LONGEST_PAUSE_MS: u64 = 30;
-/// A caller gives an answer up after this long; the daemons' own limits are shorter.
-const PATIENCE: Duration = Duration::from_secs(25);
+/// Longest pause between two requests of a caller.
+const MAX_PAUSE_MS: u64 = 30;
+/// How long a caller waits for an answer. The daemons' own timeouts are shorter.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(25);
 
-/// Part of the calls that crash the servers that run them, and what sets their draws apart from others.
-const CRASHING_PART: f64 = 0.02;
-const CRASHING_SALT: u64 = 0xc4a5_4e5d;
-/// The requests that do.
-pub(super) const CRASHING: [(SoakRoute, &str); 3] =
+/// Probability that a request is one that crashes the servers that run it.
+const CRASH_PROBABILITY: f64 = 0.02;
+/// Separates the random draws of these requests from other draws of the same seed.
+const CRASH_SALT: u64 = 0xc4a5_4e5d;
+/// The requests that crash the servers that run them: their routes and bodies.
+pub(super) const CRASH_REQUESTS: [(SoakRoute, &str); 3] =
     [(SoakRoute::Stream, "crash-1"), (SoakRoute::Resume, "crash-2"), (SoakRoute::Safe, "crash-3")];
 
-/// How one caller calls.
+/// The settings of one caller.
 #[derive(Debug, Clone)]
 pub(super) struct CallerPlan {
     pub seed: u64,
     pub name: String,
-    pub is_crashing: bool,
+    pub sends_crashes: bool,
 }
 
-/// What all callers write down.
+/// The results of all callers.
 #[derive(Debug, Default)]
-pub(super) struct SoakNotes {
+pub(super) struct CallerResults {
     pub records: Mutex<Vec<SoakRecord>>,
     pub report: Mutex<SoakReport>,
-    pub ended: AtomicBool,
+    /// Tells the callers to stop.
+    pub is_stopped: AtomicBool,
 }
 
-/// One caller: it keeps its connection as long as the daemon does.
+/// Runs one caller. It reuses its connection until the daemon closes it.
 pub(super) async fn run_caller(
     plan: CallerPlan,
     hosts: Arc<Vec<SocketAddr>>,
-    notes: Arc<SoakNotes>,
+    results: Arc<CallerResults>,
 ) {
-    let CallerPlan { seed, name, is_crashing } = plan;
+    let CallerPlan { seed, name, sends_crashes } = plan;
     let mut random = StdRng::seed_from_u64(seed);
-    let mut crashing = StdRng::seed_from_u64(seed ^ CRASHING_SALT);
+    let mut crash_random = StdRng::seed_from_u64(seed ^ CRASH_SALT);
     let mut connection: Option<SiteConnection> = None;
     let mut serial = 0;
-    while !notes.ended.load(Ordering::Relaxed) {
-        let pause = random.random_range(0..LONGEST_PAUSE_MS);
+    while !results.is_stopped.load(Ordering::Relaxed) {
+        let pause = random.random_range(0..MAX_PAUSE_MS);
         tokio::time::sleep(Duration::from_millis(pause)).await;
-        let Some(mut open) = reconnect(connection.take(), &hosts, &mut random).await else {
+        let Some(mut current) = reconnect(connection.take(), &hosts, &mut random).await else {
             continue;
         };
         serial += 1;
         let route = SoakRoute::ALL[random.random_range(0..SoakRoute::ALL.len())];
-        let crash = is_crashing
-            .then(|| crashing.random_range(0..CRASHING.len()))
-            .filter(|_| crashing.random_bool(CRASHING_PART));
+        let crash = sends_crashes
+            .then(|| crash_random.random_range(0..CRASH_REQUESTS.len()))
+            .filter(|_| crash_random.random_bool(CRASH_PROBABILITY));
         let (route, id, call) = match crash {
-            Some(which) => {
-                let id = format!("{name}-{serial}-{}", CRASHING[which].1);
-                (CRASHING[which].0, id.clone(), crashing_call(which, &id))
+            Some(index) => {
+                let id = format!("{name}-{serial}-{}", CRASH_REQUESTS[index].1);
+                (CRASH_REQUESTS[index].0, id.clone(), crash_call(index, &id))
             }
             None => {
                 let id = format!("{name}-{serial}");
                 (route, id.clone(), soak_call(route, &id))
             }
         };
-        // Written down first: a run of it must be known also if the caller never hears of it.
-        lock(&notes.records).push(SoakRecord { id: id.clone(), route, status: None });
-        let asked = tokio::time::timeout(PATIENCE, open.call(&call)).await;
-        let reply = asked.ok().and_then(crate::Result::ok);
-        let whole = reply.as_ref().is_some_and(|reply| reply.complete);
-        note_reply(&notes, route, &id, reply);
-        connection = whole.then_some(open);
+        // The request is recorded before it is sent: if a server runs it and the caller receives no answer, the run
+        // must still be attributed to a known request.
+        lock(&results.records).push(SoakRecord { id: id.clone(), route, status: None });
+        let outcome = tokio::time::timeout(ANSWER_TIMEOUT, current.call(&call)).await;
+        let reply = outcome.ok().and_then(crate::Result::ok);
+        let is_complete = reply.as_ref().is_some_and(|reply| reply.complete);
+        record_reply(&results, route, &id, reply);
+        connection = is_complete.then_some(current);
     }
 }
 
 async fn reconnect(
-    kept: Option<SiteConnection>,
+    connection: Option<SiteConnection>,
     hosts: &[SocketAddr],
     random: &mut StdRng,
 ) -> Option<SiteConnection> {
-    match kept {
-        Some(open) if open.is_open() => Some(open),
+    match connection {
+        Some(current) if current.is_open() => Some(current),
         _ => {
             let host = hosts[random.random_range(0..hosts.len())];
-            // A daemon that is down refuses; the caller tries another one next.
+            // A daemon that is down refuses the connection; the caller then tries another one.
             SiteConnection::open(host).await.ok()
         }
     }
@@ -106,21 +109,21 @@
     }
 }
 
-/// A request that crashes the servers that run it.
-pub(super) fn crashing_call(which: usize, id: &str) -> SiteCall {
-    let (route, body) = CRASHING[which];
+/// Builds a request that crashes the servers that run it.
+pub(super) fn crash_call(index: usize, id: &str) -> SiteCall {
+    let (route, body) = CRASH_REQUESTS[index];
     SiteCall { method: "POST", body, ..soak_call(route, id) }
 }
 
-fn note_reply(notes: &SoakNotes, route: SoakRoute, id: &str, reply: Option<CallerReply>) {
-    let mut report = lock(&notes.report);
+fn record_reply(results: &CallerResults, route: SoakRoute, id: &str, reply: Option<CallerReply>) {
+    let mut report = lock(&results.report);
     report.sent += 1;
     let Some(reply) = reply else {
         report.failed += 1;
         return;
     };
     let status = reply.status.as_u16();
-    if let Some(record) = lock(&notes.records).iter_mut().rev().find(|record| record.id == id) {
+    if let Some(record) = lock(&results.records).iter_mut().rev().find(|record| record.id == id) {
         record.status = Some(status);
     }
     match status {
@@ -128,6 +131,6 @@
         503 => report.refused += 1,
         _ => report.failed += 1,
     }
-    let breach: Option<SoakViolation> = check_reply(route, id, &reply);
-    report.violations.extend(breach);
+    let violation: Option<SoakViolation> = check_reply(route, id, &reply);
+    report.violations.extend(violation);
 }
--- a/src/bench/soak/soak_check.rs
+++ b/src/bench/soak/soak_check.rs
@@ -2,10 +2,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Events of a whole stream.
+/// Number of events in a complete stream.
 pub(super) const STREAM_EVENTS: u64 = 8;
 
-/// Routes that the soak's callers use.
+/// The routes that callers use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SoakRoute {
     Stream,
@@ -26,13 +26,13 @@
         }
     }
 
-    /// Path of its requests.
+    /// Returns the path of requests on this route.
     pub fn path(self) -> String {
         format!("/{}/x", self.name())
     }
 
-    /// Most runs of one request.
-    const fn most_runs(self) -> usize {
+    /// Returns the largest number of times that servers may run one request.
+    const fn max_runs(self) -> usize {
         match self {
             Self::Stream | Self::Once => 1,
             Self::Resume | Self::Safe => 2,
@@ -44,54 +44,57 @@
     }
 }
 
-/// A promise that was broken.
+/// A violation of a guarantee.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SoakViolation {
-    /// The promise.
+    /// The guarantee that was violated.
     pub guarantee: &'static str,
-    /// The request or server, and what was seen.
+    /// The request or server concerned, and what was observed.
     pub detail: String,
 }
 
-/// What a soak saw.
+/// The results of a soak test.
 #[derive(Debug, Clone, Default)]
 pub struct SoakReport {
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: u64,
-    /// Requests whose answer was whole.
+    /// Number of requests that received a complete answer.
     pub completed: u64,
-    /// Requests that were refused as not run.
+    /// Number of requests that were refused as not run.
     pub refused: u64,
-    /// Requests that failed or were cut.
+    /// Number of requests that failed or whose answer was cut off.
     pub failed: u64,
-    /// Faults injected.
+    /// Number of faults injected.
     pub faults: u64,
-    /// Calls of the store, from start to end.
+    /// Number of calls to the store.
     pub store_calls: u64,
-    /// Promises broken.
+    /// Violations of guarantees.
     pub violations: Vec<SoakViolation>,
 }
 
-/// One request and what its caller was told.
+/// A request and the status that its caller received.
 #[derive(Debug, Clone)]
 pub(super) struct SoakRecord {
     pub id: String,
     pub route: SoakRoute,
-    /// The status, if a head came.
+    /// The status, if the head of an answer arrived.
     pub status: Option<u16>,
 }
 
-/// Checks an answer by itself, as its caller sees it.
+/// Checks a single answer as its caller sees it.
 pub(super) fn check_reply(
     route: SoakRoute,
     id: &str,
     reply: &CallerReply,
 ) -> Option<SoakViolation> {
-    let breach = |guarantee, detail: String| {
+    let violation = |guarantee, detail: String| {
         Some(SoakViolation { guarantee, detail: format!("{id}: {detail}") })
     };
     if reply.header("x-request-id") != id {
-        return breach("an answer belongs to its request", reply.header("x-request-id").to_owned());
+        return violation(
+            "an answer belongs to its request",
+            reply.header("x-request-id").to_owned(),
+        );
     }
     if !reply.status.is_success() {
         return None;
@@ -101,15 +104,15 @@
     }
     let text = String::from_utf8_lossy(&reply.body);
     if reply.complete && text != format!("{} {id}", route.path()) {
-        return breach("a success is the server's whole answer", text.into_owned());
+        return violation("a success is the server's whole answer", text.into_owned());
     }
     None
 }
 
 fn check_events(id: &str, reply: &CallerReply) -> Option<SoakViolation> {
     let events = reply.events();
-    let expected: Vec<u64> = (0..events.len() as u64).collect();
-    if events != expected {
+    let in_order: Vec<u64> = (0..events.len() as u64).collect();
+    if events != in_order {
         let detail = format!("{id}: {events:?}");
         return Some(SoakViolation { guarantee: "events come once and in order", detail });
     }
@@ -117,17 +120,17 @@
         let detail = format!("{id}: {} events", events.len());
         return Some(SoakViolation { guarantee: "a stream that looks whole is whole", detail });
     }
-    let own: String =
+    let expected: String =
         events.iter().map(|event| format!("id: {event}\ndata: {id} {event}\n\n")).collect();
     let text = String::from_utf8_lossy(&reply.body);
-    // Also a stream that was cut holds whole events only.
-    (text != own).then(|| SoakViolation {
+    // A stream that was cut off contains only complete events as well.
+    (text != expected).then(|| SoakViolation {
         guarantee: "a stream has only its own events",
         detail: format!("{id}: {text:?}"),
     })
 }
 
-/// Checks what backend servers saw against what callers were told.
+/// Compares the runs on backend servers with the statuses that callers received.
 pub(super) fn check_runs(
     records: &[SoakRecord],
     decodes: &[Arc<SiteEngine>],
@@ -148,7 +151,7 @@
             violations.push(SoakViolation { guarantee: "servers run only what was asked", detail });
             continue;
         };
-        if *count > record.route.most_runs() {
+        if *count > record.route.max_runs() {
             let detail = format!("{id} on {}: {count} runs", record.route.name());
             violations.push(SoakViolation { guarantee: "runs are bounded by the route", detail });
         }
@@ -160,7 +163,7 @@
     violations
 }
 
-/// Checks that orders came under rising fences, and each fence from one holder.
+/// Checks that the fencing tokens of orders never decrease and that each token has only one holder.
 pub(super) fn check_orders(engines: &[Arc<SiteEngine>]) -> Vec<SoakViolation> {
     let mut holders: BTreeMap<u64, String> = BTreeMap::new();
     let mut violations = Vec::new();
@@ -181,8 +184,8 @@
     violations
 }
 
-/// Checks that each hold was used by the request for which it was granted: holds name nobody, so one that
-/// two requests used was granted to one of them at most.
+/// Checks that each hold was used only by the request to which it was granted. A hold does not identify its request,
+/// so a hold that two requests used was granted to at most one of them.
 pub(super) fn check_holds(decodes: &[Arc<SiteEngine>]) -> Vec<SoakViolation> {
     let mut users: BTreeMap<String, String> = BTreeMap::new();
     let mut violations = Vec::new();
--- a/src/bench/soak/soak_config.rs
+++ b/src/bench/soak/soak_config.rs
@@ -1,41 +1,42 @@
-//! Configurations of a soak: each version can be told from the others by its routes.
+//! Builds the configurations of a soak test. Marker routes identify each version.
 
-use super::soak_run::SoakStage;
+use super::soak_run::SoakCluster;
 use crate::bench::site::{larger_config, plain_route};
 use serde_json::Value;
 
-/// Versions rise by this much.
+/// Difference between successive versions.
 const VERSION_STEP: u64 = 3;
-/// A route that one version adds is kept by this many; the next one drops it.
-const MARKS_KEPT: u64 = 3;
+/// Number of versions that have a marker route: the one that adds it and those that follow. The next one drops it.
+const MARKERS_KEPT: u64 = 3;
 
-impl SoakStage {
-    /// The operator confirms a further version.
+impl SoakCluster {
+    /// Writes the next version of the configuration to the store, as the operator does to confirm it.
     pub fn confirm_version(&mut self) {
         self.version += VERSION_STEP;
-        let config = marked_config(self.version, self.unused_routes);
+        let config = config_with_markers(self.version, self.unused_routes);
         self.site.set_config(self.version, &config);
     }
 }
 
-/// Beginning of the paths of the route that a version added.
-pub(super) fn mark_path(version: u64) -> String {
+/// Returns the path prefix of the marker route that `version` added.
+pub(super) fn marker_path(version: u64) -> String {
     format!("/mark-{version}/")
 }
 
-/// The newest version that has no route of `version` any more.
-pub(super) fn dropped_mark(version: u64) -> u64 {
-    version.saturating_sub(MARKS_KEPT * VERSION_STEP)
+/// Returns the newest version whose marker route `version` has dropped.
+pub(super) fn dropped_marker(version: u64) -> u64 {
+    version.saturating_sub(MARKERS_KEPT * VERSION_STEP)
 }
 
-/// A configuration with routes of its own and those of a few versions before.
-fn marked_config(version: u64, further: usize) -> Value {
-    let mut config = larger_config(version, further);
-    let marks = (0..MARKS_KEPT).map(|age| version.saturating_sub(age * VERSION_STEP));
-    let marks = marks.map(|mark| plain_route(&format!("mark-{mark}"), &mark_path(mark)));
-    let added: Vec<Value> = marks.collect();
+/// Builds a configuration with the marker routes of this version and the ones before it.
+fn config_with_markers(version: u64, unused_routes: usize) -> Value {
+    let mut config = larger_config(version, unused_routes);
+    let versions = (0..MARKERS_KEPT).map(|age| version.saturating_sub(age * VERSION_STEP));
+    let markers =
+        versions.map(|marker| plain_route(&format!("mark-{marker}"), &marker_path(marker)));
+    let markers: Vec<Value> = markers.collect();
     if let Some(routes) = config["routes"].as_array_mut() {
-        routes.extend(added);
+        routes.extend(markers);
     }
     config
 }
--- a/src/bench/soak/soak_fault.rs
+++ b/src/bench/soak/soak_fault.rs
@@ -1,48 +1,56 @@
-use super::soak_answer::AnswerFault;
-use super::soak_cut::CutGroup;
+use super::answer_fault::AnswerFault;
+use super::partition_group::PartitionGroup;
 use crate::bench::links::{PartitionScope, ProxyMode};
 use crate::bench::site::{EngineFault, ServiceFault, StoreFault};
 use rand::Rng;
 use rand::rngs::StdRng;
 use std::time::Duration;
 
-/// A fault of a soak, with the place where it strikes.
+/// A fault that a soak test injects, with the index of its target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SoakFault {
     Store(StoreFault),
+    /// The store compacts its history.
     StoreForgets,
     Engine(usize, EngineFault),
     Service(usize, ServiceFault),
+    /// The link to a backend server.
     Link(usize, ProxyMode),
+    /// The answers of a backend server.
     Answers(usize, AnswerFault),
+    /// The link between a host and the store.
     HostStore(usize, ProxyMode),
+    /// The store's answers to a host.
     StoreAnswers(usize, AnswerFault),
     Kill(usize),
     Stop(usize),
     Pause(usize),
+    /// Like `Pause`, but the host's monotonic clock stops as well.
     Suspend(usize),
-    Cut(CutGroup, PartitionScope),
+    /// A network partition.
+    Cut(PartitionGroup, PartitionScope),
     Reload(usize),
+    /// The configuration changes.
     Configure,
     DrainServer(usize),
 }
 
-/// How many there are of each thing that a fault may strike.
+/// The number of possible targets of each kind.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct FaultPlaces {
+pub(super) struct FaultTargets {
     pub engines: usize,
     pub services: usize,
     pub links: usize,
     pub hosts: usize,
 }
 
-/// Draws the next fault and how long it lasts.
-pub(super) fn draw_fault(random: &mut StdRng, places: FaultPlaces) -> (SoakFault, Duration) {
-    let engine = random.random_range(0..places.engines);
-    let service = random.random_range(0..places.services);
-    let link = random.random_range(0..places.links);
-    let host = random.random_range(0..places.hosts);
-    let lasts = Duration::from_millis(random.random_range(50..1500));
+/// Draws the next fault and its duration.
+pub(super) fn draw_fault(random: &mut StdRng, targets: FaultTargets) -> (SoakFault, Duration) {
+    let engine = random.random_range(0..targets.engines);
+    let service = random.random_range(0..targets.services);
+    let link = random.random_range(0..targets.links);
+    let host = random.random_range(0..targets.hosts);
+    let duration = Duration::from_millis(random.random_range(50..1500));
     let fault = match random.random_range(0..16) {
         0 => SoakFault::Store(draw_store(random)),
         1 => SoakFault::StoreForgets,
@@ -59,7 +67,7 @@
         _ if random.random_bool(0.5) => SoakFault::Reload(host),
         _ => SoakFault::DrainServer(service),
     };
-    (fault, lasts)
+    (fault, duration)
 }
 
 fn draw_store(random: &mut StdRng) -> StoreFault {
@@ -103,7 +111,7 @@
     ][random.random_range(0..4)]
 }
 
-/// Draws what is wrong with answers: half of the draws are answers given twice.
+/// Draws a fault in answers. Half of the draws are answers that are sent twice.
 fn draw_answer(random: &mut StdRng) -> AnswerFault {
     if random.random_bool(0.5) {
         return if random.random_bool(0.5) {
--- a/src/bench/soak/soak_inject.rs
+++ b/src/bench/soak/soak_inject.rs
@@ -1,9 +1,9 @@
-//! Begins and ends a soak's faults.
+//! Begins and ends the faults of a soak test.
 
+use super::partition_group::PartitionGroup;
 use super::soak_burst::{BurstStep, draw_burst};
-use super::soak_cut::CutGroup;
-use super::soak_fault::{FaultPlaces, SoakFault, draw_fault};
-use super::soak_run::{SoakOptions, SoakStage};
+use super::soak_fault::{FaultTargets, SoakFault, draw_fault};
+use super::soak_run::{SoakCluster, SoakOptions};
 use crate::Result;
 use crate::bench::links::{PartitionScope, ProxyMode};
 use crate::bench::site::{EngineFault, RestartAddress, ServiceFault, SiteEngine, StoreFault};
@@ -15,146 +15,147 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Pause between two draws; most faults last longer, so that they overlap.
-const LONGEST_GAP_MS: u64 = 400;
-/// Part of the draws that are a series instead of a single fault.
-const BURST_PART: f64 = 0.2;
-/// Part of the draws that come with the restart of a server, and what sets their draws apart from others.
-const RESTART_PART: f64 = 0.15;
+/// Longest pause between two draws. Most faults last longer, so that they overlap.
+const MAX_GAP_MS: u64 = 400;
+/// Probability that a draw is a burst instead of a single fault.
+const BURST_PROBABILITY: f64 = 0.2;
+/// Probability that a draw also restarts a server. The salt separates these random draws from others of the same seed.
+const RESTART_PROBABILITY: f64 = 0.15;
 const RESTART_SALT: u64 = 0x7e57_a127;
 
-/// Part of the draws that come with the suspension of a host, what sets their draws apart from others, and how long
-/// it lasts.
-const SUSPEND_PART: f64 = 0.15;
+/// Probability that a draw also suspends a host, the salt of these random draws, and the bounds of the duration.
+const SUSPEND_PROBABILITY: f64 = 0.15;
 const SUSPEND_SALT: u64 = 0x5059_e4d0;
-const SHORTEST_SUSPEND_MS: u64 = 200;
-const LONGEST_SUSPEND_MS: u64 = 3000;
-/// Part of the draws that come with a change of a server's limit, and what sets their draws apart from others.
-const LIMIT_PART: f64 = 0.5;
+const MIN_SUSPEND_MS: u64 = 200;
+const MAX_SUSPEND_MS: u64 = 3000;
+/// Probability that a draw also changes the limit of a server, and the salt of these random draws.
+const LIMIT_PROBABILITY: f64 = 0.5;
 const LIMIT_SALT: u64 = 0x11a1_7ed5;
-/// Part of the draws that come with a silence of open connections, what sets their draws apart from others, and the
-/// part of the links that it strikes if not all.
-const SILENCE_PART: f64 = 0.12;
-const SILENCE_SALT: u64 = 0x51_1e9c;
-const SILENT_LINKS: f64 = 0.3;
-/// Part of the draws that come with a cut of machines, what sets their draws apart from others, and how long it lasts.
-const CUT_PART: f64 = 0.25;
-const CUT_SALT: u64 = 0xc0_7ab1e;
-const CUT_MS: Range<u64> = 300..5500;
-/// How long a server is down that crashed under a request.
-const CRASHED_MS: Range<u64> = 300..2500;
-
-/// A fault that has begun, and when it ends.
-type OpenFault = (SoakFault, Instant);
-
-impl SoakStage {
-    /// Injects faults for the soak's length and counts them.
-    pub async fn inject(&mut self, options: &SoakOptions) -> Result<u64> {
+/// Probability that a draw also stalls open connections, the salt of these random draws, and the probability that a
+/// link is affected if not all of them are.
+const STALL_PROBABILITY: f64 = 0.12;
+const STALL_SALT: u64 = 0x51_1e9c;
+const STALLED_LINK_PROBABILITY: f64 = 0.3;
+/// Probability that a draw also begins a network partition, the salt of these random draws, and the range of
+/// durations.
+const PARTITION_PROBABILITY: f64 = 0.25;
+const PARTITION_SALT: u64 = 0xc0_7ab1e;
+const PARTITION_MS: Range<u64> = 300..5500;
+/// How long a server stays down after it crashed under a request.
+const DOWNTIME_MS: Range<u64> = 300..2500;
+
+/// A fault that has begun, and the time at which it ends.
+type ActiveFault = (SoakFault, Instant);
+
+impl SoakCluster {
+    /// Injects faults for the duration that `options` sets. Returns how many it injected.
+    pub async fn inject_faults(&mut self, options: &SoakOptions) -> Result<u64> {
         let mut random = StdRng::seed_from_u64(options.seed);
         let mut restarts = StdRng::seed_from_u64(options.seed ^ RESTART_SALT);
-        let mut suspends = StdRng::seed_from_u64(options.seed ^ SUSPEND_SALT);
+        let mut suspensions = StdRng::seed_from_u64(options.seed ^ SUSPEND_SALT);
         let mut limits = StdRng::seed_from_u64(options.seed ^ LIMIT_SALT);
-        let mut silences = StdRng::seed_from_u64(options.seed ^ SILENCE_SALT);
-        let mut cuts = StdRng::seed_from_u64(options.seed ^ CUT_SALT);
-        let mut crashed = BTreeMap::new();
-        let places = self.places();
-        let ends = Instant::now() + options.duration;
-        let mut open: Vec<OpenFault> = Vec::new();
+        let mut stalls = StdRng::seed_from_u64(options.seed ^ STALL_SALT);
+        let mut partitions = StdRng::seed_from_u64(options.seed ^ PARTITION_SALT);
+        let mut restart_times = BTreeMap::new();
+        let targets = self.fault_targets();
+        let deadline = Instant::now() + options.duration;
+        let mut active: Vec<ActiveFault> = Vec::new();
         let mut count = 0;
-        while Instant::now() < ends {
-            for step in draw_steps(&mut random, places) {
-                self.begin(step.fault)?;
+        while Instant::now() < deadline {
+            for step in draw_steps(&mut random, targets) {
+                self.begin_fault(step.fault)?;
                 count += 1;
-                open.push((step.fault, Instant::now() + step.lasts));
+                active.push((step.fault, Instant::now() + step.duration));
                 sleep(step.pause).await;
             }
-            if restarts.random_bool(RESTART_PART) {
+            if restarts.random_bool(RESTART_PROBABILITY) {
                 self.restart_server(restarts.random_range(0..self.links.len())).await?;
                 count += 1;
             }
-            if options.suspends_hosts && suspends.random_bool(SUSPEND_PART) {
-                let fault = SoakFault::Suspend(suspends.random_range(0..places.hosts));
-                self.begin(fault)?;
+            if options.suspends_hosts && suspensions.random_bool(SUSPEND_PROBABILITY) {
+                let fault = SoakFault::Suspend(suspensions.random_range(0..targets.hosts));
+                self.begin_fault(fault)?;
                 count += 1;
-                let lasts = suspends.random_range(SHORTEST_SUSPEND_MS..LONGEST_SUSPEND_MS);
-                open.push((fault, Instant::now() + Duration::from_millis(lasts)));
+                let duration_ms = suspensions.random_range(MIN_SUSPEND_MS..MAX_SUSPEND_MS);
+                active.push((fault, Instant::now() + Duration::from_millis(duration_ms)));
             }
-            if options.limits_servers && limits.random_bool(LIMIT_PART) {
+            if options.limits_servers && limits.random_bool(LIMIT_PROBABILITY) {
                 self.change_limit(&mut limits);
                 count += 1;
             }
-            if options.silences_connections && silences.random_bool(SILENCE_PART) {
-                let part = if silences.random_bool(0.5) { 1.0 } else { SILENT_LINKS };
-                self.trace.note_shock(&format!("silence of {part}"))?;
-                self.silence_connections(part, &mut silences);
+            if options.stalls_connections && stalls.random_bool(STALL_PROBABILITY) {
+                let probability =
+                    if stalls.random_bool(0.5) { 1.0 } else { STALLED_LINK_PROBABILITY };
+                self.fault_log.record_disruption(&format!("silence of {probability}"))?;
+                self.stall_connections(probability, &mut stalls);
                 count += 1;
             }
-            if options.cuts_machines && cuts.random_bool(CUT_PART) {
-                let fault = draw_cut(&mut cuts, places.hosts, self.domains);
-                self.begin(fault)?;
+            if options.partitions_network && partitions.random_bool(PARTITION_PROBABILITY) {
+                let fault = draw_partition(&mut partitions, targets.hosts, self.domains);
+                self.begin_fault(fault)?;
                 count += 1;
-                let lasts = Duration::from_millis(cuts.random_range(CUT_MS));
-                open.push((fault, Instant::now() + lasts));
+                let duration = Duration::from_millis(partitions.random_range(PARTITION_MS));
+                active.push((fault, Instant::now() + duration));
             }
-            count += self.restart_due(&mut crashed, &mut restarts).await?;
-            let gap = random.random_range(0..LONGEST_GAP_MS);
+            count += self.restart_due(&mut restart_times, &mut restarts).await?;
+            let gap = random.random_range(0..MAX_GAP_MS);
             sleep(Duration::from_millis(gap)).await;
-            self.end_due(&mut open)?;
+            self.end_due(&mut active)?;
         }
         Ok(count)
     }
 
-    /// A server crashes and starts again under its id, behind the same link.
-    async fn restart_server(&mut self, place: usize) -> Result<()> {
-        self.trace.note_restart(place)?;
-        let id = &self.site.servers[place].id;
+    /// Crashes a server and restarts it under the same id, behind the same link.
+    async fn restart_server(&mut self, index: usize) -> Result<()> {
+        self.fault_log.record_restart(index)?;
+        let id = &self.site.servers[index].id;
         self.site.begin_incarnation(id, RestartAddress::Same).await?;
-        self.site.write_incarnation_entry(id, self.answer_links[place].address)
+        self.site.write_incarnation_entry(id, self.answer_links[index].address)
     }
 
-    /// Starts crashed servers again that have been down for their time, which is drawn as they are found;
-    /// returns how many were found.
+    /// Restarts crashed servers whose downtime is over. The downtime is drawn when a crash is first seen. Returns the
+    /// number of crashes that were first seen in this call.
     async fn restart_due(
         &mut self,
-        crashed: &mut BTreeMap<usize, Instant>,
+        restart_times: &mut BTreeMap<usize, Instant>,
         random: &mut StdRng,
     ) -> Result<u64> {
         let now = Instant::now();
-        let mut found = 0;
-        for place in self.crashed_servers()? {
-            let back_at = *crashed.entry(place).or_insert_with(|| {
-                found += 1;
-                now + Duration::from_millis(random.random_range(CRASHED_MS))
+        let mut new_crashes = 0;
+        for index in self.crashed_servers()? {
+            let restart_time = *restart_times.entry(index).or_insert_with(|| {
+                new_crashes += 1;
+                now + Duration::from_millis(random.random_range(DOWNTIME_MS))
             });
-            if back_at <= now {
-                crashed.remove(&place);
-                self.restart_server(place).await?;
+            if restart_time <= now {
+                restart_times.remove(&index);
+                self.restart_server(index).await?;
             }
         }
-        Ok(found)
+        Ok(new_crashes)
     }
 
-    /// Starts all servers again that are down; returns how many these were.
+    /// Restarts all servers that are down. Returns how many were down.
     pub async fn restart_crashed(&mut self) -> Result<usize> {
         let down = self.crashed_servers()?;
-        for place in &down {
-            self.restart_server(*place).await?;
+        for index in &down {
+            self.restart_server(*index).await?;
         }
         Ok(down.len())
     }
 
     fn crashed_servers(&self) -> Result<Vec<usize>> {
         let mut down = Vec::new();
-        for (server, place) in self.site.servers.iter().zip(0..) {
+        for (server, index) in self.site.servers.iter().zip(0..) {
             if self.site.incarnation_switch(&server.id)?.is_down() {
-                down.push(place);
+                down.push(index);
             }
         }
         Ok(down)
     }
 
-    fn places(&self) -> FaultPlaces {
-        FaultPlaces {
+    fn fault_targets(&self) -> FaultTargets {
+        FaultTargets {
             engines: self.site.decodes.len() + self.site.prefills.len(),
             services: self.site.services.len(),
             links: self.links.len(),
@@ -162,92 +163,96 @@
         }
     }
 
-    /// Ends the faults that are over; a host that still stops is looked at again.
-    fn end_due(&mut self, open: &mut Vec<OpenFault>) -> Result<()> {
+    /// Ends the faults whose time is over. A fault whose host is still shutting down is checked again later.
+    fn end_due(&mut self, active: &mut Vec<ActiveFault>) -> Result<()> {
         let now = Instant::now();
-        let (due, mut rest): (Vec<_>, Vec<_>) = open.drain(..).partition(|(_, at)| *at <= now);
-        for (fault, at) in due {
-            if !self.end(fault)? {
-                rest.push((fault, at));
+        let (due, mut remaining): (Vec<_>, Vec<_>) =
+            active.drain(..).partition(|(_, end)| *end <= now);
+        for (fault, end) in due {
+            if !self.end_fault(fault)? {
+                remaining.push((fault, end));
             }
         }
-        *open = rest;
+        *active = remaining;
         Ok(())
     }
 
-    fn begin(&mut self, fault: SoakFault) -> Result<()> {
-        self.trace.note_began(fault)?;
+    fn begin_fault(&mut self, fault: SoakFault) -> Result<()> {
+        self.fault_log.record_start(fault)?;
         match fault {
             SoakFault::Store(fault) => self.site.store.set_fault(fault),
             SoakFault::StoreForgets => self.site.store.change(|objects| objects.compact()),
-            SoakFault::Engine(place, fault) => self.engine(place).set_fault(fault),
-            SoakFault::Service(place, fault) => self.site.services[place].set_fault(fault),
-            SoakFault::Link(place, mode) => self.links[place].set(mode),
-            SoakFault::Answers(place, fault) => self.answer_links[place].set(Some(fault)),
-            SoakFault::HostStore(place, mode) => self.store_links[place].set(mode),
-            SoakFault::StoreAnswers(place, fault) => self.store_answers[place].set(Some(fault)),
-            SoakFault::Kill(place) => self.hosts[place].signal("-KILL")?,
-            SoakFault::Stop(place) => self.hosts[place].signal("-TERM")?,
-            SoakFault::Pause(place) => self.hosts[place].signal("-STOP")?,
-            SoakFault::Suspend(place) => self.hosts[place].suspend()?,
-            SoakFault::Cut(group, scope) => self.begin_cut(group, scope),
-            SoakFault::Reload(place) => self.hosts[place].signal("-HUP")?,
+            SoakFault::Engine(index, fault) => self.engine(index).set_fault(fault),
+            SoakFault::Service(index, fault) => self.site.services[index].set_fault(fault),
+            SoakFault::Link(index, mode) => self.links[index].set(mode),
+            SoakFault::Answers(index, fault) => self.answer_links[index].set_fault(Some(fault)),
+            SoakFault::HostStore(index, mode) => self.store_links[index].set(mode),
+            SoakFault::StoreAnswers(index, fault) => {
+                self.store_answers[index].set_fault(Some(fault))
+            }
+            SoakFault::Kill(index) => self.hosts[index].signal("-KILL")?,
+            SoakFault::Stop(index) => self.hosts[index].signal("-TERM")?,
+            SoakFault::Pause(index) => self.hosts[index].signal("-STOP")?,
+            SoakFault::Suspend(index) => self.hosts[index].suspend()?,
+            SoakFault::Cut(group, scope) => self.begin_partition(group, scope),
+            SoakFault::Reload(index) => self.hosts[index].signal("-HUP")?,
             SoakFault::Configure => self.confirm_version(),
-            SoakFault::DrainServer(place) => self.state_service(place, "draining"),
+            SoakFault::DrainServer(index) => self.write_service_entry(index, "draining"),
         }
         Ok(())
     }
 
-    /// Ends a fault; false if that takes longer.
-    fn end(&mut self, fault: SoakFault) -> Result<bool> {
+    /// Ends a fault. Returns false if it cannot end yet because its host is still shutting down.
+    fn end_fault(&mut self, fault: SoakFault) -> Result<bool> {
         match fault {
             SoakFault::Store(_) => self.site.store.set_fault(StoreFault::None),
-            SoakFault::Engine(place, _) => self.engine(place).set_fault(EngineFault::None),
-            SoakFault::Service(place, _) => self.site.services[place].set_fault(ServiceFault::None),
-            SoakFault::Link(place, _) => self.links[place].set(ProxyMode::Pass),
-            SoakFault::Answers(place, _) => self.answer_links[place].set(None),
-            SoakFault::HostStore(place, _) => self.store_links[place].set(ProxyMode::Pass),
-            SoakFault::StoreAnswers(place, _) => self.store_answers[place].set(None),
-            SoakFault::Kill(place) | SoakFault::Stop(place) => {
-                if !self.hosts[place].has_ended() {
+            SoakFault::Engine(index, _) => self.engine(index).set_fault(EngineFault::None),
+            SoakFault::Service(index, _) => self.site.services[index].set_fault(ServiceFault::None),
+            SoakFault::Link(index, _) => self.links[index].set(ProxyMode::Pass),
+            SoakFault::Answers(index, _) => self.answer_links[index].set_fault(None),
+            SoakFault::HostStore(index, _) => self.store_links[index].set(ProxyMode::Pass),
+            SoakFault::StoreAnswers(index, _) => self.store_answers[index].set_fault(None),
+            SoakFault::Kill(index) | SoakFault::Stop(index) => {
+                if !self.hosts[index].has_ended() {
                     return Ok(false);
                 }
-                self.hosts[place].restart()?;
+                self.hosts[index].restart()?;
             }
-            SoakFault::Pause(place) | SoakFault::Suspend(place) => self.hosts[place].resume()?,
-            SoakFault::Cut(group, scope) => self.end_cut(group, scope),
-            SoakFault::DrainServer(place) => self.state_service(place, "ready"),
+            SoakFault::Pause(index) | SoakFault::Suspend(index) => self.hosts[index].resume()?,
+            SoakFault::Cut(group, scope) => self.end_partition(group, scope),
+            SoakFault::DrainServer(index) => self.write_service_entry(index, "ready"),
             SoakFault::StoreForgets | SoakFault::Reload(_) | SoakFault::Configure => {}
         }
-        self.trace.note_ended(fault)?;
+        self.fault_log.record_end(fault)?;
         Ok(true)
     }
 
-    /// An engine, decode engines first.
-    pub fn engine(&self, place: usize) -> &Arc<SiteEngine> {
+    /// Returns an engine by its index. Decode engines come first.
+    pub fn engine(&self, index: usize) -> &Arc<SiteEngine> {
         let decodes = self.site.decodes.len();
-        self.site.decodes.get(place).unwrap_or_else(|| &self.site.prefills[place - decodes])
+        self.site.decodes.get(index).unwrap_or_else(|| &self.site.prefills[index - decodes])
     }
 
-    /// Writes the entry of a server of the plain service, whose servers come last.
-    pub fn state_service(&self, place: usize, state: &str) {
-        let place = self.site.decodes.len() + self.site.prefills.len() + place;
-        let server = &self.site.servers[place];
-        let address = self.answer_links[place].address;
+    /// Writes the entry of a server of the plain service. `index` counts only the servers of that service, which come
+    /// last in the list of all servers.
+    pub fn write_service_entry(&self, index: usize, state: &str) {
+        let index = self.site.decodes.len() + self.site.prefills.len() + index;
+        let server = &self.site.servers[index];
+        let address = self.answer_links[index].address;
         self.site.write_entry(&server.id, server.service, address, server.stage, state);
     }
 }
 
-fn draw_cut(random: &mut StdRng, hosts: usize, domains: usize) -> SoakFault {
+fn draw_partition(random: &mut StdRng, hosts: usize, domains: usize) -> SoakFault {
     let scope = if random.random_bool(0.5) { PartitionScope::All } else { PartitionScope::Hosts };
-    SoakFault::Cut(CutGroup::draw(random, hosts, domains), scope)
+    SoakFault::Cut(PartitionGroup::draw(random, hosts, domains), scope)
 }
 
-/// Draws what begins next: one fault, or a series.
-fn draw_steps(random: &mut StdRng, places: FaultPlaces) -> Vec<BurstStep> {
-    if random.random_bool(BURST_PART) {
-        return draw_burst(random, places);
+/// Draws the next faults: a single one or a burst.
+fn draw_steps(random: &mut StdRng, targets: FaultTargets) -> Vec<BurstStep> {
+    if random.random_bool(BURST_PROBABILITY) {
+        return draw_burst(random, targets);
     }
-    let (fault, lasts) = draw_fault(random, places);
-    vec![BurstStep { fault, lasts, pause: Duration::ZERO }]
+    let (fault, duration) = draw_fault(random, targets);
+    vec![BurstStep { fault, duration, pause: Duration::ZERO }]
 }
--- a/src/bench/soak/soak_limits.rs
+++ b/src/bench/soak/soak_limits.rs
@@ -1,7 +1,7 @@
-//! Limits that a soak's servers name, and what they get then.
+//! Server limits in a soak test: servers announce them, and hosts must not exceed them.
 
 use super::soak_check::SoakViolation;
-use super::soak_run::SoakStage;
+use super::soak_run::SoakCluster;
 use crate::Result;
 use crate::bench::site::{LimitAnnouncement, LimitExcess, SiteArrivals};
 use rand::rngs::StdRng;
@@ -9,86 +9,87 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Limits that are named, in requests a second; callers want some twenty and more of each server.
+/// Limits that servers announce, in requests per second. Callers would otherwise send more than twenty to each server.
 const LIMITS: [f64; 5] = [0.8, 2.0, 3.3, 5.0, 8.0];
-/// One answer of so many may leave the limit out.
-const SILENT_EACH: usize = 7;
-/// Servers that name a limit at the end.
-const LIMITED: usize = 4;
-/// Traffic without limits before that.
-const FREE_TIME: Duration = Duration::from_millis(1500);
-/// All hosts know after this, and a window has passed.
-const KNOWN_TIME: Duration = Duration::from_millis(4500);
-const LOOK: Duration = Duration::from_millis(100);
-/// How long a host is suspended then.
-const SUSPENDED_TIME: Duration = Duration::from_secs(2);
+/// A server may omit the limit from one of this many answers.
+const OMIT_EVERY: usize = 7;
+/// Number of servers that announce a limit in the final check.
+const LIMITED_SERVERS: usize = 4;
+/// Duration of the traffic without limits before the final check.
+const UNLIMITED_TIME: Duration = Duration::from_millis(1500);
+/// Time after which all hosts know the limits and a whole window has passed.
+const SETTLE_TIME: Duration = Duration::from_millis(4500);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a host is suspended in the final check.
+const SUSPENSION_TIME: Duration = Duration::from_secs(2);
 
-impl SoakStage {
-    /// A server names a limit, another one, or none.
+impl SoakCluster {
+    /// Makes a random server announce a limit, a different one, or none.
     pub fn change_limit(&self, random: &mut StdRng) {
-        let place = random.random_range(0..self.links.len());
-        let speech = draw_speech(random);
-        self.arrivals(place).set(speech);
+        let index = random.random_range(0..self.links.len());
+        let announcement = draw_announcement(random);
+        self.arrivals(index).set(announcement);
     }
 
-    /// No server names a limit any more.
-    pub fn take_limits_back(&self) {
-        for place in 0..self.links.len() {
-            self.arrivals(place).set(LimitAnnouncement::default());
+    /// Makes all servers stop announcing limits.
+    pub fn clear_limits(&self) {
+        for index in 0..self.links.len() {
+            self.arrivals(index).set(LimitAnnouncement::default());
         }
     }
 
-    fn arrivals(&self, place: usize) -> &SiteArrivals {
+    fn arrivals(&self, index: usize) -> &SiteArrivals {
         let engines = self.site.decodes.len() + self.site.prefills.len();
-        match place.checked_sub(engines) {
+        match index.checked_sub(engines) {
             Some(service) => &self.site.services[service].arrivals,
-            None => &self.engine(place).arrivals,
+            None => &self.engine(index).arrivals,
         }
     }
 
-    /// While callers go on and all else is calm but for a host that is killed and one that is suspended, servers name
-    /// limits, and none gets more than it named.
+    /// Checks that no server receives more requests than the limit that it announces allows. Callers continue to send
+    /// requests meanwhile. The only faults are the kill of one host and the suspension of another.
     pub async fn check_limits(&mut self, seed: u64) -> Result<Vec<SoakViolation>> {
         let mut random = StdRng::seed_from_u64(seed);
-        for place in 0..self.links.len() {
-            self.arrivals(place).clear();
+        for index in 0..self.links.len() {
+            self.arrivals(index).clear();
         }
-        self.keep_up(FREE_TIME).await?;
+        self.keep_servers_running(UNLIMITED_TIME).await?;
         let servers = self.links.len();
         let first = random.random_range(0..servers);
-        for place in (first..first + LIMITED).map(|place| place % servers) {
+        for index in (first..first + LIMITED_SERVERS).map(|index| index % servers) {
             let limit = LIMITS[random.random_range(0..LIMITS.len())];
-            self.arrivals(place).set(LimitAnnouncement::of(limit));
+            self.arrivals(index).set(LimitAnnouncement::of(limit));
         }
-        self.keep_up(KNOWN_TIME).await?;
-        self.disturb(&mut random).await?;
-        self.keep_up(KNOWN_TIME).await?;
-        let violations = self.over_limits();
-        self.take_limits_back();
+        self.keep_servers_running(SETTLE_TIME).await?;
+        self.disrupt_hosts(&mut random).await?;
+        self.keep_servers_running(SETTLE_TIME).await?;
+        let violations = self.limit_violations();
+        self.clear_limits();
         Ok(violations)
     }
 
-    async fn disturb(&mut self, random: &mut StdRng) -> Result<()> {
+    /// Kills one host, suspends the next one for a while, and waits until all hosts are ready.
+    async fn disrupt_hosts(&mut self, random: &mut StdRng) -> Result<()> {
         let killed = random.random_range(0..self.hosts.len());
         let suspended = (killed + 1) % self.hosts.len();
         self.hosts[killed].signal("-KILL")?;
         self.hosts[suspended].suspend()?;
-        self.keep_up(SUSPENDED_TIME).await?;
+        self.keep_servers_running(SUSPENSION_TIME).await?;
         self.hosts[suspended].resume()?;
         self.wait_ready().await
     }
 
-    /// Time passes in which callers' requests go on crashing servers: those start again.
-    async fn keep_up(&mut self, time: Duration) -> Result<()> {
-        let ends = Instant::now() + time;
-        while Instant::now() < ends {
+    /// Waits for `time` and restarts the servers that callers' requests crash meanwhile.
+    async fn keep_servers_running(&mut self, time: Duration) -> Result<()> {
+        let deadline = Instant::now() + time;
+        while Instant::now() < deadline {
             self.restart_crashed().await?;
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    fn over_limits(&self) -> Vec<SoakViolation> {
+    fn limit_violations(&self) -> Vec<SoakViolation> {
         let engines = self.site.decodes.iter().chain(&self.site.prefills);
         let engines = engines.map(|engine| (&engine.id, &engine.arrivals));
         let services = self.site.services.iter().map(|server| (&server.id, &server.arrivals));
@@ -103,11 +104,11 @@
     SoakViolation { guarantee: "no server gets more than its limit allows", detail }
 }
 
-fn draw_speech(random: &mut StdRng) -> LimitAnnouncement {
+fn draw_announcement(random: &mut StdRng) -> LimitAnnouncement {
     if random.random_bool(0.3) {
         return LimitAnnouncement::default();
     }
-    let omit_every = if random.random_bool(0.3) { SILENT_EACH } else { 0 };
+    let omit_every = if random.random_bool(0.3) { OMIT_EVERY } else { 0 };
     LimitAnnouncement {
         omit_every,
         ..LimitAnnouncement::of(LIMITS[random.random_range(0..LIMITS.len())])
--- a/src/bench/soak/soak_run.rs
+++ b/src/bench/soak/soak_run.rs
@@ -1,8 +1,8 @@
 use super::answer_link::AnswerLink;
-use super::soak_caller::{CallerPlan, SoakNotes, run_caller};
+use super::fault_log::FaultLog;
+use super::partition_group::machine_address;
+use super::soak_caller::{CallerPlan, CallerResults, run_caller};
 use super::soak_check::{SoakReport, check_holds, check_orders, check_runs};
-use super::soak_cut::machine_address;
-use super::soak_trace::SoakTrace;
 use crate::bench::links::{HostLink, LinkProxy, LinkSockets, ProxyMode};
 use crate::bench::site::{EngineFault, ServiceFault, SitePlan, StoreFault, TestSite, call_site};
 use crate::bench::{GatewayProcess, ProcessPlan, free_ports};
@@ -14,119 +14,120 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Keeps the seeds of the servers' links apart, also those of neighbouring soaks.
-const SERVER_SEEDS: u64 = 1000;
-const LOOK: Duration = Duration::from_millis(20);
-/// Ends a soak that hangs; nothing is measured against it.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Difference between the link seeds of successive soak seeds. It keeps the seeds of all links apart.
+const LINK_SEED_STRIDE: u64 = 1000;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Ends a soak test that hangs. No guarantee depends on this value.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Failure domains of hosts; all servers are in the first one.
+/// Failure domains of hosts. All servers are in the first one.
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
 
-static SOAKS: AtomicU64 = AtomicU64::new(0);
+static NEXT_SERIAL: AtomicU64 = AtomicU64::new(0);
 
-/// How a soak is run.
+/// The settings of a soak test.
 #[derive(Debug, Clone)]
 pub struct SoakOptions {
-    /// Draws faults and callers.
+    /// Seed of the random draws of faults and requests.
     pub seed: u64,
     /// How long faults are injected.
     pub duration: Duration,
-    /// Daemons.
+    /// Number of daemons.
     pub hosts: usize,
-    /// Failure domains over which they are spread; three at most.
+    /// Number of failure domains over which the daemons are spread, at most three.
     pub domains: usize,
-    /// Callers.
+    /// Number of callers.
     pub callers: usize,
-    /// Some requests crash the servers that run them.
+    /// Whether some requests crash the servers that run them.
     pub sends_crashing_requests: bool,
-    /// Daemons are suspended; their environment has a clock that stands still meanwhile.
+    /// Whether daemons are suspended. Their environment must provide a clock that stops meanwhile.
     pub suspends_hosts: bool,
-    /// Servers name limits.
+    /// Whether servers announce limits.
     pub limits_servers: bool,
-    /// Open connections fall silent, and each host is asked in the end what is in force there.
-    pub silences_connections: bool,
-    /// Machines are cut off, with the same questions in the end; the daemons' environment has a library that lets
-    /// their connections come from the address of their machine.
-    pub cuts_machines: bool,
-    /// Routes of the configuration that nobody asks for.
+    /// Whether open connections stall. After the faults, each host is probed for the configuration in effect.
+    pub stalls_connections: bool,
+    /// Whether machines are partitioned from each other, with the same probes after the faults. The daemons'
+    /// environment must provide a library that makes their connections come from the address of their machine.
+    pub partitions_network: bool,
+    /// Number of routes in the configuration that no request uses.
     pub unused_routes: usize,
-    /// Variables of the daemons' environment.
+    /// Environment variables of the daemons.
     pub environment: Vec<(String, String)>,
-    /// Folder of the built programs.
+    /// Folder that contains the built programs.
     pub programs: PathBuf,
 }
 
-pub(super) struct SoakStage {
+/// The daemons, the stand-ins, and the links between them.
+pub(super) struct SoakCluster {
     pub site: TestSite,
-    /// Before each server.
+    /// Link to each server.
     pub links: Vec<LinkProxy>,
-    /// Before each server's link: where daemons reach it.
+    /// Link to each of `links`, through which daemons reach the server.
     pub answer_links: Vec<AnswerLink>,
-    /// Before the store, one for each host.
+    /// Link to the store for each host.
     pub store_links: Vec<LinkProxy>,
-    /// Before each of these: where its host reaches the store.
+    /// Link to each of `store_links`, through which its host reaches the store.
     pub store_answers: Vec<AnswerLink>,
     pub hosts: Vec<GatewayProcess>,
-    /// Before each of them, if the links between them have faults: where the others reach it.
+    /// Link through which the other hosts reach each host, if links between hosts have faults.
     pub host_links: Vec<HostLink>,
     pub sockets: LinkSockets,
-    /// Failure domains over which the hosts are dealt out in turn.
+    /// Number of failure domains, to which hosts are assigned round-robin.
     pub domains: usize,
-    /// Of the configuration.
+    /// Version of the configuration.
     pub version: u64,
     pub unused_routes: usize,
-    pub trace: SoakTrace,
+    pub fault_log: FaultLog,
 }
 
-/// Runs a soak and tells what it saw.
+/// Runs a soak test and returns its results.
 ///
 /// # Errors
-/// If a program or socket cannot be started.
+/// If a program or a link cannot be started, or the daemons do not become ready.
 pub async fn run_soak(options: &SoakOptions) -> Result<SoakReport> {
-    // Tests of one process may run the same seed at the same time.
-    let serial = SOAKS.fetch_add(1, Ordering::Relaxed);
+    // Several tests of one process may use the same seed at the same time.
+    let serial = NEXT_SERIAL.fetch_add(1, Ordering::Relaxed);
     let name = format!("tealcleat-soak-{}-{}-{serial}", std::process::id(), options.seed);
     let folder = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&folder)?;
-    let mut stage = SoakStage::start(options, &folder).await?;
-    let notes = Arc::new(SoakNotes::default());
+    let mut cluster = SoakCluster::start(options, &folder).await?;
+    let results = Arc::new(CallerResults::default());
     let addresses: Arc<Vec<SocketAddr>> =
-        Arc::new(stage.hosts.iter().map(|host| host.callers).collect());
+        Arc::new(cluster.hosts.iter().map(|host| host.callers).collect());
     let callers: Vec<_> = (0..options.callers)
-        .map(|place| {
-            let seed = options.seed.wrapping_mul(1000) + place as u64;
-            let name = format!("s{}-c{place}", options.seed);
-            let plan = CallerPlan { seed, name, is_crashing: options.sends_crashing_requests };
-            tokio::spawn(run_caller(plan, Arc::clone(&addresses), Arc::clone(&notes)))
+        .map(|index| {
+            let seed = options.seed.wrapping_mul(1000) + index as u64;
+            let name = format!("s{}-c{index}", options.seed);
+            let plan = CallerPlan { seed, name, sends_crashes: options.sends_crashing_requests };
+            tokio::spawn(run_caller(plan, Arc::clone(&addresses), Arc::clone(&results)))
         })
         .collect();
-    let faults = stage.inject(options).await?;
-    stage.heal().await?;
+    let faults = cluster.inject_faults(options).await?;
+    cluster.end_all_faults().await?;
     let over_limits =
-        if options.limits_servers { stage.check_limits(options.seed).await? } else { Vec::new() };
-    let in_force = stage.check_force(options).await?;
-    notes.ended.store(true, Ordering::Relaxed);
+        if options.limits_servers { cluster.check_limits(options.seed).await? } else { Vec::new() };
+    let propagation = cluster.check_propagation(options).await?;
+    results.is_stopped.store(true, Ordering::Relaxed);
     for caller in callers {
         caller.await.map_err(|error| Error::Protocol(error.to_string()))?;
     }
-    // Their last requests may have crashed some.
-    stage.restart_crashed().await?;
-    let mut report = lock(&notes.report).clone();
+    // The callers' last requests may have crashed servers.
+    cluster.restart_crashed().await?;
+    let mut report = lock(&results.report).clone();
     report.faults = faults;
-    report.store_calls = stage.site.store.call_counts().0;
-    let calm = stage.check_calm(options.seed).await;
-    let mut records = lock(&notes.records).clone();
-    records.extend(calm.1);
-    records.extend(in_force.1);
-    report.violations.extend(calm.0);
-    report.violations.extend(in_force.0);
-    let site = &stage.site;
+    report.store_calls = cluster.site.store.call_counts().0;
+    let recovery = cluster.check_recovery(options.seed).await;
+    let mut records = lock(&results.records).clone();
+    records.extend(recovery.1);
+    records.extend(propagation.1);
+    report.violations.extend(recovery.0);
+    report.violations.extend(propagation.0);
+    let site = &cluster.site;
     report.violations.extend(check_runs(&records, &site.decodes, &site.services));
     let engines: Vec<_> = site.decodes.iter().chain(&site.prefills).cloned().collect();
     report.violations.extend(check_orders(&engines));
     report.violations.extend(check_holds(&site.decodes));
-    report.violations.extend(stage.check_innocents()?);
+    report.violations.extend(cluster.check_bystanders()?);
     report.violations.extend(over_limits);
     if report.violations.is_empty() {
         std::fs::remove_dir_all(&folder)?;
@@ -134,23 +135,23 @@
     Ok(report)
 }
 
-impl SoakStage {
+impl SoakCluster {
     async fn start(options: &SoakOptions, folder: &std::path::Path) -> Result<Self> {
         let plan = SitePlan { prefills: 2, decodes: 3, services: 3, hosts: 0 };
         let site = TestSite::start(plan).await?;
         let sockets = LinkSockets::default();
         let mut links = Vec::new();
         let mut answer_links = Vec::new();
-        for (server, place) in site.servers.iter().zip(0..) {
+        for (server, index) in site.servers.iter().zip(0..) {
             let link = LinkProxy::start_with(server.address, sockets.partitions.clone()).await?;
-            let seed = options.seed.wrapping_mul(SERVER_SEEDS) + place;
+            let seed = options.seed.wrapping_mul(LINK_SEED_STRIDE) + index;
             let answers = AnswerLink::start(link.address, seed).await?;
             site.write_entry(&server.id, server.service, answers.address, server.stage, "ready");
-            answers.follow(site.incarnation_switch(&server.id)?.clone());
+            answers.refuse_while_down(site.incarnation_switch(&server.id)?.clone());
             links.push(link);
             answer_links.push(answers);
         }
-        // Engines fetch each other's results at the addresses that daemons know.
+        // Decode engines fetch prefill results at the addresses that daemons know.
         for (server, answers) in site.servers.iter().zip(&answer_links) {
             let source = site.prefills.iter().find(|engine| engine.id == server.id);
             for decode in &site.decodes {
@@ -159,7 +160,7 @@
                 }
             }
         }
-        let mut stage = Self {
+        let mut cluster = Self {
             site,
             links,
             answer_links,
@@ -171,43 +172,43 @@
             domains: options.domains.clamp(1, DOMAINS.len()),
             version: 1,
             unused_routes: options.unused_routes,
-            trace: SoakTrace::create(folder)?,
+            fault_log: FaultLog::create(folder)?,
         };
-        stage.confirm_version();
-        for place in 0..options.hosts {
-            stage.add_host(options, folder, place).await?;
+        cluster.confirm_version();
+        for index in 0..options.hosts {
+            cluster.add_host(options, folder, index).await?;
         }
-        stage.wait_ready().await?;
-        if options.cuts_machines && !stage.knows_machines() {
+        cluster.wait_ready().await?;
+        if options.partitions_network && !cluster.sources_match_machines() {
             let cause = "connections of daemons do not come from their machines' addresses";
-            return Err(Error::Refused(format!("{cause}: {:?}", stage.store_sources())));
+            return Err(Error::Refused(format!("{cause}: {:?}", cluster.store_sources())));
         }
-        Ok(stage)
+        Ok(cluster)
     }
 
-    /// Starts a daemon, and the links before it and between it and the store.
+    /// Starts a daemon, its link to the store and, if needed, the link through which other hosts reach it.
     async fn add_host(
         &mut self,
         options: &SoakOptions,
         folder: &std::path::Path,
-        place: usize,
+        index: usize,
     ) -> Result<()> {
         let partitions = self.sockets.partitions.clone();
         let link = LinkProxy::start_with(self.site.store_address, partitions).await?;
-        let seed = options.seed.wrapping_mul(SERVER_SEEDS) + (self.links.len() + place) as u64;
-        let store = AnswerLink::start(link.address, seed).await?;
-        let seeds: Vec<SocketAddr> = self.hosts.iter().map(|host| host.peers).collect();
-        let has_link = options.silences_connections || options.cuts_machines;
+        let seed = options.seed.wrapping_mul(LINK_SEED_STRIDE) + (self.links.len() + index) as u64;
+        let store_answers = AnswerLink::start(link.address, seed).await?;
+        let peers: Vec<SocketAddr> = self.hosts.iter().map(|host| host.peers).collect();
+        let has_link = options.stalls_connections || options.partitions_network;
         let advertised = has_link.then(advertised_address).transpose()?;
-        let here = IpAddr::from(Ipv4Addr::LOCALHOST);
+        let loopback = IpAddr::from(Ipv4Addr::LOCALHOST);
         let host = GatewayProcess::start(&ProcessPlan {
             program: &options.programs.join("tealcleatd"),
             folder,
-            name: &format!("host-{place}"),
-            domain: DOMAINS[place % self.domains],
-            machine: if options.cuts_machines { machine_address(place) } else { here },
-            store: store.address,
-            seeds: &seeds,
+            name: &format!("host-{index}"),
+            domain: DOMAINS[index % self.domains],
+            machine: if options.partitions_network { machine_address(index) } else { loopback },
+            store: store_answers.address,
+            seeds: &peers,
             advertised,
             revocation: None,
             environment: &options.environment,
@@ -217,44 +218,44 @@
             self.host_links.push(link);
         }
         self.store_links.push(link);
-        self.store_answers.push(store);
+        self.store_answers.push(store_answers);
         self.hosts.push(host);
         Ok(())
     }
 
-    /// Whether links can tell from which machine a connection comes: some must have come, and none from a wrong address.
-    /// A host that its neighbours told all has not called the store yet, whichever was the first to start.
-    fn knows_machines(&self) -> bool {
+    /// Returns whether links can identify the machine of a connection: at least one host has called the store, and none
+    /// from a wrong address. Any host may have received its state from peers and not called the store yet.
+    fn sources_match_machines(&self) -> bool {
         let sources = self.store_sources();
-        let is_own = |(source, place): (&Option<IpAddr>, usize)| {
-            source.is_none_or(|address| address == machine_address(place))
+        let is_valid = |(source, index): (&Option<IpAddr>, usize)| {
+            source.is_none_or(|address| address == machine_address(index))
         };
-        sources.iter().any(Option::is_some) && sources.iter().zip(0..).all(is_own)
+        sources.iter().any(Option::is_some) && sources.iter().zip(0..).all(is_valid)
     }
 
-    /// From where each daemon last called the store, if it has.
+    /// Returns the address from which each daemon last called the store, if it has called it.
     fn store_sources(&self) -> Vec<Option<IpAddr>> {
         self.store_links.iter().map(LinkProxy::last_source).collect()
     }
 
-    /// Ends all faults and waits until everything serves.
-    async fn heal(&mut self) -> Result<()> {
+    /// Ends all faults and waits until all daemons are ready.
+    async fn end_all_faults(&mut self) -> Result<()> {
         self.site.store.set_fault(StoreFault::None);
-        for place in 0..self.site.decodes.len() + self.site.prefills.len() {
-            self.engine(place).set_fault(EngineFault::None);
+        for index in 0..self.site.decodes.len() + self.site.prefills.len() {
+            self.engine(index).set_fault(EngineFault::None);
         }
-        for place in 0..self.site.services.len() {
-            self.site.services[place].set_fault(ServiceFault::None);
-            self.state_service(place, "ready");
+        for index in 0..self.site.services.len() {
+            self.site.services[index].set_fault(ServiceFault::None);
+            self.write_service_entry(index, "ready");
         }
-        self.take_limits_back();
+        self.clear_limits();
         self.sockets.partitions.end_all();
         self.restart_crashed().await?;
         for link in self.links.iter().chain(&self.store_links) {
             link.set(ProxyMode::Pass);
         }
         for answers in self.answer_links.iter().chain(&self.store_answers) {
-            answers.set(None);
+            answers.set_fault(None);
         }
         for host in &mut self.hosts {
             host.resume()?;
@@ -262,9 +263,9 @@
         self.wait_ready().await
     }
 
-    /// Restarts what has ended, and waits until every daemon takes callers.
+    /// Restarts daemons that have ended, and waits until all daemons are ready for callers.
     pub async fn wait_ready(&mut self) -> Result<()> {
-        let ends = tokio::time::Instant::now() + PATIENCE;
+        let deadline = tokio::time::Instant::now() + READY_TIMEOUT;
         for host in &mut self.hosts {
             loop {
                 if host.has_ended() {
@@ -273,10 +274,10 @@
                 if is_ready(host.ready).await {
                     break;
                 }
-                if tokio::time::Instant::now() > ends {
+                if tokio::time::Instant::now() > deadline {
                     return Err(Error::Refused(format!("{} never became ready", host.ready)));
                 }
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
--- a/src/bin/tealcleat-load/controller.rs
+++ b/src/bin/tealcleat-load/controller.rs
@@ -49,8 +49,8 @@
                 sends_crashing_requests: *crashing,
                 suspends_hosts: *suspending,
                 limits_servers: *limiting,
-                silences_connections: *silencing,
-                cuts_machines: *cutting,
+                stalls_connections: *silencing,
+                partitions_network: *cutting,
                 unused_routes: *further_routes,
                 environment: variable
                     .iter()
--- a/tests/site_soak.rs
+++ b/tests/site_soak.rs
@@ -1,5 +1,6 @@
-//! A short soak of real daemons as processes of their own, with faults from outside. Seeds that
-//! ever failed stay here, each with its cause.
+//! Short soak tests of real daemons, which run as separate processes and are subjected to faults from outside.
+//!
+//! A seed that failed once stays here as a case, with the cause of the failure.
 
 use machine_common::{held_clock, source_address};
 use rstest::rstest;
@@ -11,74 +12,77 @@
 
 #[rstest]
 #[case::first(1)]
-// A run fell silent, a second one found no room, and the caller was told "not run".
+// The first run of a request stalled and a second one was refused for lack of room. The caller was told "not run",
+// although the first one may have run.
 #[case::refused_after_a_run(406)]
-// An answer to a hold came once more and was believed by the next request; a second answer behind one
-// without a length became part of a stream.
+// The answer to a hold request arrived twice, and the copy was taken for the answer to the next request. A second
+// answer that followed one without a length became part of a stream.
 #[case::answers_given_twice(5205)]
-fn soak_keeps_promises(#[case] seed: u64) {
+fn run_soak_keeps_guarantees(#[case] seed: u64) {
     run(options(seed));
 }
 
-/// Beside all other faults some requests crash the servers that run them, and hosts are suspended.
+/// In addition to all other faults, some requests crash the servers that run them, and hosts are suspended.
 #[rstest]
 #[case::first(1)]
 #[case::second(2)]
-fn soak_with_crashing_requests_and_suspended_hosts(#[case] seed: u64) {
+fn run_soak_with_crashing_requests_and_suspended_hosts(#[case] seed: u64) {
     let environment = held_clock(&format!("soak-{seed}"));
-    let plan = options(seed);
+    let defaults = options(seed);
     run(SoakOptions {
         hosts: 4,
         domains: 2,
         sends_crashing_requests: true,
         suspends_hosts: true,
         environment,
-        ..plan
+        ..defaults
     });
 }
 
-/// Beside all other faults servers name limits; in the end, when all is calm but for a host that is killed and one that
-/// is suspended, none gets more than it named.
+/// In addition to all other faults, servers announce limits. After the faults, no server receives more requests than
+/// it announced, although one host is killed and another one is suspended.
 #[test]
-fn soak_with_limited_servers() {
-    let plan = options(1);
+fn run_soak_with_limited_servers() {
+    let defaults = options(1);
     let environment = held_clock("soak-limits");
-    run(SoakOptions { hosts: 6, domains: 3, limits_servers: true, environment, ..plan });
+    run(SoakOptions { hosts: 6, domains: 3, limits_servers: true, environment, ..defaults });
 }
 
-/// Beside all other faults open connections fall silent; in the end each host is asked what is in force there, beside
-/// silences, kills and a store that answers nobody while a large configuration changes.
+/// In addition to all other faults, open connections stall. After the faults, each host is probed for the
+/// configuration in effect, while a large configuration changes during stalls, kills and an outage of the store.
 #[rstest]
 #[case::first(1)]
 #[case::second(2)]
-fn confirmed_changes_in_force_throughout_a_soak(#[case] seed: u64) {
-    let plan = options(seed);
+fn run_soak_with_stalled_connections(#[case] seed: u64) {
+    let defaults = options(seed);
     let duration = Duration::from_secs(3);
     run(SoakOptions {
         hosts: 5,
-        silences_connections: true,
+        stalls_connections: true,
         unused_routes: 1400,
         duration,
-        ..plan
+        ..defaults
     });
 }
 
-/// The same beside machines that are cut off, from everything or from other hosts only, in series and beside kills. Seen: 404
-/// on routes that had been confirmed 3 s before, at hosts that reached the store. They heard of no newer version, from nobody
-/// at all or from a watcher that was cut off, and took that for calm; their logs have no word of news, and no question to
-/// the store, until they doubted their view by its age alone.
+/// Hosts are probed in the same way during network partitions, which separate machines from everything or only from
+/// other hosts, overlap, and coincide with kills.
+///
+/// The test guards against hosts that reach the store and still answer 404 on routes that were confirmed 3 s before.
+/// Such a host received no update, because no host sent one or because its watcher was partitioned, and concluded that
+/// nothing had changed. It did not query the store until its view was too old.
 #[test]
-fn confirmed_changes_in_force_beside_cut_machines() {
-    let plan = options(1);
+fn run_soak_with_network_partitions() {
+    let defaults = options(1);
     let environment = source_address("soak-cuts");
     let duration = Duration::from_secs(3);
     run(SoakOptions {
         hosts: 12,
-        cuts_machines: true,
+        partitions_network: true,
         unused_routes: 1400,
         duration,
         environment,
-        ..plan
+        ..defaults
     });
 }
 
@@ -93,18 +97,18 @@
         sends_crashing_requests: false,
         suspends_hosts: false,
         limits_servers: false,
-        silences_connections: false,
-        cuts_machines: false,
+        stalls_connections: false,
+        partitions_network: false,
         unused_routes: 0,
         environment: Vec::new(),
-        programs: daemon.parent().expect("a folder").to_path_buf(),
+        programs: daemon.parent().expect("the daemon is in a folder").to_path_buf(),
     }
 }
 
 fn run(options: SoakOptions) {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    let runtime = runtime.expect("a runtime");
-    let report = runtime.block_on(run_soak(&options)).expect("it runs");
+    let runtime = runtime.expect("the runtime starts");
+    let report = runtime.block_on(run_soak(&options)).expect("the soak test runs");
     runtime.shutdown_background();
     assert!(report.violations.is_empty(), "{:?}", report.violations);
     assert!(report.completed > 0);
