--- a/src/bench/bench_caller.rs
+++ b/src/bench/bench_caller.rs
@@ -11,17 +11,17 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallResult {
     /// The whole answer.
-    Whole,
+    Complete,
     /// It was told that the request did not run.
     NotRun,
     /// It was told that the request may have run.
     Unknown,
     /// It was told that the answer went elsewhere, or that the first attempt still runs.
-    Elsewhere,
+    AnsweredElsewhere,
     /// The connection broke without a final answer.
     Broken(String),
     /// It left by its own will.
-    Left,
+    Disconnected,
 }
 
 /// A completion as the caller saw it.
@@ -36,7 +36,7 @@
     /// Time to the first token.
     pub first_token: Option<Duration>,
     /// Times between tokens.
-    pub gaps: Vec<Duration>,
+    pub token_gaps: Vec<Duration>,
     /// HTTP status, if a head came.
     pub status: u16,
     /// Why it was refused.
@@ -71,11 +71,11 @@
         leave_after: Option<usize>,
     ) -> Completion {
         let mut seen = Completion {
-            result: CallResult::Left,
+            result: CallResult::Disconnected,
             request: None,
             tokens: Vec::new(),
             first_token: None,
-            gaps: Vec::new(),
+            token_gaps: Vec::new(),
             status: 0,
             reason: String::new(),
         };
@@ -85,7 +85,7 @@
         match tokio::time::timeout(patience, reading).await {
             Ok(Ok(result)) => seen.result = result,
             Ok(Err(error)) => seen.result = CallResult::Broken(error.to_string()),
-            Err(_) => seen.result = CallResult::Left,
+            Err(_) => seen.result = CallResult::Disconnected,
         }
         seen
     }
@@ -124,7 +124,7 @@
                     return Ok(result);
                 }
                 if leave_after.is_some_and(|limit| seen.tokens.len() >= limit) {
-                    return Ok(CallResult::Left);
+                    return Ok(CallResult::Disconnected);
                 }
             }
         }
@@ -132,7 +132,7 @@
     }
 
     /// Sends a call that must run at most once.
-    pub async fn book(
+    pub async fn call_once(
         &self,
         host: SocketAddr,
         organisation: &str,
@@ -154,14 +154,14 @@
         };
         match tokio::time::timeout(patience, exchange).await {
             Ok(Ok((200, bytes))) => {
-                (CallResult::Whole, String::from_utf8_lossy(&bytes).into_owned())
+                (CallResult::Complete, String::from_utf8_lossy(&bytes).into_owned())
             }
             Ok(Ok((_, bytes))) => {
                 let text = String::from_utf8_lossy(&bytes).into_owned();
                 (error_result(&bytes), text)
             }
             Ok(Err(error)) => (CallResult::Broken(error.to_string()), String::new()),
-            Err(_) => (CallResult::Left, String::new()),
+            Err(_) => (CallResult::Disconnected, String::new()),
         }
     }
 }
@@ -186,7 +186,7 @@
     }
     let data = text.trim().strip_prefix("data: ")?;
     if data == "[DONE]" {
-        return Some(CallResult::Whole);
+        return Some(CallResult::Complete);
     }
     let value: Value = serde_json::from_str(data).ok()?;
     let choice = &value["choices"][0];
@@ -194,7 +194,7 @@
         let now = Instant::now();
         match seen.first_token {
             None => seen.first_token = Some(now - began),
-            Some(_) => seen.gaps.push(now - *last),
+            Some(_) => seen.token_gaps.push(now - *last),
         }
         *last = now;
         seen.tokens.push(choice["text"].as_str().unwrap_or("").to_owned());
@@ -213,8 +213,8 @@
     let reason = value["error"]["reason"].as_str().unwrap_or("");
     match value["error"]["outcome"].as_str() {
         Some("not_run") => CallResult::NotRun,
-        Some("whole") => CallResult::Elsewhere,
-        Some("unknown") if reason == "in_progress" => CallResult::Elsewhere,
+        Some("whole") => CallResult::AnsweredElsewhere,
+        Some("unknown") if reason == "in_progress" => CallResult::AnsweredElsewhere,
         Some("unknown") => CallResult::Unknown,
         _ => CallResult::Broken("no final answer".to_owned()),
     }
--- a/src/bench/control_server.rs
+++ b/src/bench/control_server.rs
@@ -30,7 +30,7 @@
                 (_, Err(error)) => return Response::text(error.to_string()).with_status_code(400),
                 _ => return Response::text("no body").with_status_code(400),
             };
-            if set.switch(&command) {
+            if set.switch_fault(&command) {
                 Response::text("switched\n")
             } else {
                 Response::text("no such target\n").with_status_code(404)
--- a/src/bench/fleet.rs
+++ b/src/bench/fleet.rs
@@ -70,7 +70,7 @@
     /// # Errors
     /// If it was refused.
     pub fn confirm(&self, host: usize, intent: &str) -> Result<u64> {
-        let plan = match self.ask_operator(host, "POST", "/plan", intent)? {
+        let plan = match self.request_operator(host, "POST", "/plan", intent)? {
             OperatorReply::Plan(plan) => plan,
             other => return Err(Error::Refused(format!("{other:?}"))),
         };
@@ -80,7 +80,7 @@
             digest: plan.digest,
         };
         let text = serde_json::to_string(&request)?;
-        match self.ask_operator(host, "POST", "/confirm", &text)? {
+        match self.request_operator(host, "POST", "/confirm", &text)? {
             OperatorReply::Confirmed(version) => Ok(version),
             other => Err(Error::Refused(format!("{other:?}"))),
         }
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     /// If there was no such answer.
-    pub fn ask_operator(
+    pub fn request_operator(
         &self,
         host: usize,
         method: &str,
--- a/src/bench/load_run.rs
+++ b/src/bench/load_run.rs
@@ -204,12 +204,13 @@
             }
             let Some(mut seen) = seen else { return };
             let expected = answer_tokens(prompt_hash(&prompt), 160);
-            let right = if seen.result == CallResult::Whole {
+            let right = if seen.result == CallResult::Complete {
                 seen.tokens == expected
             } else {
                 expected.starts_with(&seen.tokens)
             };
-            let gap_p95 = (!seen.gaps.is_empty()).then(|| percentile(&mut seen.gaps, 0.95));
+            let gap_p95 =
+                (!seen.token_gaps.is_empty()).then(|| percentile(&mut seen.token_gaps, 0.95));
             let mut tally = tally.lock().unwrap_or_else(PoisonError::into_inner);
             tally.broken += u64::from(matches!(seen.result, CallResult::Broken(_)));
             tally.calls.push(CallRecord {
@@ -245,15 +246,15 @@
     tally: Arc<Mutex<LoadTally>>,
 ) {
     let header = ("idempotency-key", body.as_str());
-    let first = caller.book(hosts[0], organisation, header, &body, PATIENCE);
+    let first = caller.call_once(hosts[0], organisation, header, &body, PATIENCE);
     let results = if twice {
-        let second = caller.book(hosts[1], organisation, header, &body, PATIENCE);
+        let second = caller.call_once(hosts[1], organisation, header, &body, PATIENCE);
         let (first, second) = tokio::join!(first, second);
         vec![first.0, second.0]
     } else {
         vec![first.await.0]
     };
-    let answers = results.iter().filter(|result| **result == CallResult::Whole).count();
+    let answers = results.iter().filter(|result| **result == CallResult::Complete).count();
     let broken = results.iter().filter(|r| matches!(r, CallResult::Broken(_))).count();
     let mut tally = tally.lock().unwrap_or_else(PoisonError::into_inner);
     tally.once_sent += 1;
--- a/src/bench/load_summary.rs
+++ b/src/bench/load_summary.rs
@@ -110,7 +110,7 @@
         let good_work = work(&mut stayed.iter().copied().filter(good));
         let mut firsts: Vec<Duration> = stayed.iter().filter_map(|call| call.first_token).collect();
         let mut gaps: Vec<Duration> = stayed.iter().filter_map(|call| call.gap_p95).collect();
-        let whole = stayed.iter().filter(|call| call.result == CallResult::Whole);
+        let whole = stayed.iter().filter(|call| call.result == CallResult::Complete);
         let late = whole.filter(|call| call.first_token.is_some_and(|time| time > first)).count();
         let goods = stayed.iter().copied().filter(good).count();
         let (prefills, decodes) = deployment.pools();
@@ -169,7 +169,7 @@
     for left in find(&|call| call.leaves) {
         by_request.remove(left);
     }
-    let useful: u64 = find(&|call| call.result == CallResult::Whole && !call.leaves)
+    let useful: u64 = find(&|call| call.result == CallResult::Complete && !call.leaves)
         .into_iter()
         .filter_map(|request| by_request.get(request).map(|work| work.1))
         .sum();
@@ -221,7 +221,7 @@
 
 fn lost(tally: &LoadTally, killed: bool) -> u64 {
     let wrong = |call: &&CallRecord| match &call.result {
-        CallResult::Whole => !call.right,
+        CallResult::Complete => !call.right,
         // What was written must be a prefix of the right answer in any case.
         CallResult::Broken(_) => !killed || !call.right,
         _ => !call.right,
--- a/src/bench/load_tally.rs
+++ b/src/bench/load_tally.rs
@@ -48,7 +48,7 @@
 impl CallRecord {
     /// Whether it met both targets with the whole, right answer.
     pub fn is_good(&self, first_token: Duration, between_tokens: Duration) -> bool {
-        self.result == CallResult::Whole
+        self.result == CallResult::Complete
             && self.right
             && self.first_token.is_some_and(|time| time <= first_token)
             && self.gap_p95.is_none_or(|gap| gap <= between_tokens)
--- a/src/bench/standin_set.rs
+++ b/src/bench/standin_set.rs
@@ -73,7 +73,7 @@
 
 impl StandinSet {
     /// Switches a fault; false if there is no such target.
-    pub fn switch(&self, command: &FaultCommand) -> bool {
+    pub fn switch_fault(&self, command: &FaultCommand) -> bool {
         if command.target == "platform" {
             self.platform.set_fault(store_fault(command));
             return true;
--- a/src/bin/tealcleat-load/demo.rs
+++ b/src/bin/tealcleat-load/demo.rs
@@ -95,7 +95,7 @@
     let call = caller.complete(fleet.hosts[host].callers, "hanbit", &prompt, CALL_TIMEOUT, None);
     let completion = runtime.block_on(call);
     let is_correct = completion.tokens == answer_tokens(prompt_hash(&prompt), 160);
-    if completion.result != CallResult::Whole || !is_correct {
+    if completion.result != CallResult::Complete || !is_correct {
         return Err(Error::Refused(format!("{:?} {}", completion.result, completion.reason)));
     }
     let first_token_ms = completion.first_token.unwrap_or_default().as_millis();
@@ -113,13 +113,13 @@
         (fleet.hosts[0].callers, fleet.hosts[fleet.hosts.len() - 1].callers);
     let (first_reply, second_reply) = runtime.block_on(async {
         tokio::join!(
-            caller.book(first_host, "hanbit", header, body, CALL_TIMEOUT),
-            caller.book(last_host, "hanbit", header, body, CALL_TIMEOUT)
+            caller.call_once(first_host, "hanbit", header, body, CALL_TIMEOUT),
+            caller.call_once(last_host, "hanbit", header, body, CALL_TIMEOUT)
         )
     });
     let runs = fleet.stats()?.runs.get(body).copied().unwrap_or(0);
     let answers =
-        [&first_reply.0, &second_reply.0].iter().filter(|r| ***r == CallResult::Whole).count();
+        [&first_reply.0, &second_reply.0].iter().filter(|r| ***r == CallResult::Complete).count();
     if runs == 1 && answers == 1 {
         Ok(format!("{runs} run, {answers} answer"))
     } else {
@@ -137,7 +137,7 @@
     };
     let stale_intent = intent("second", "late");
     let tealcleat::host::OperatorReply::Plan(plan) =
-        fleet.ask_operator(0, "POST", "/plan", &stale_intent)?
+        fleet.request_operator(0, "POST", "/plan", &stale_intent)?
     else {
         return Err(Error::Refused("no plan".to_owned()));
     };
@@ -147,7 +147,7 @@
         base_version: plan.base_version,
         digest: plan.digest,
     };
-    match fleet.ask_operator(0, "POST", "/confirm", &serde_json::to_string(&request)?)? {
+    match fleet.request_operator(0, "POST", "/confirm", &serde_json::to_string(&request)?)? {
         tealcleat::host::OperatorReply::Stale(changes) => Ok(changes.join(", ")),
         other => Err(Error::Refused(format!("{other:?}"))),
     }
--- a/src/bin/tealcleat-load/overhead.rs
+++ b/src/bin/tealcleat-load/overhead.rs
@@ -92,7 +92,7 @@
     let completion =
         caller.complete(host, "hanbit", &prompt(round, index), CALL_TIMEOUT, None).await;
     match (completion.result, completion.first_token) {
-        (CallResult::Whole, Some(first)) => Ok((first, completion.gaps)),
+        (CallResult::Complete, Some(first)) => Ok((first, completion.token_gaps)),
         (other, _) => Err(Error::Refused(format!("{other:?} {}", completion.reason))),
     }
 }
--- a/tests/answer_ends.rs
+++ b/tests/answer_ends.rs
@@ -22,7 +22,7 @@
 
 fn cut_streams(set: &StandinSet) {
     let target = DECODE.to_owned();
-    assert!(set.switch(&FaultCommand { target, fault: FaultKind::CutStreams, on: true }));
+    assert!(set.switch_fault(&FaultCommand { target, fault: FaultKind::CutStreams, on: true }));
 }
 
 #[test]
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -123,7 +123,7 @@
 
     pub fn fault(&self, target: &str, fault: FaultKind, on: bool) {
         let command = FaultCommand { target: target.to_owned(), fault, on };
-        assert!(self.set.switch(&command), "no target {target}");
+        assert!(self.set.switch_fault(&command), "no target {target}");
     }
 
     pub fn complete(&self, host_index: usize, prompt: &str) -> Completion {
@@ -136,7 +136,7 @@
         let caller = self.caller();
         let address = self.daemons[host_index].callers;
         let header = ("idempotency-key", key);
-        self.runtime.block_on(caller.book(address, "hanbit", header, body, CALL_TIMEOUT))
+        self.runtime.block_on(caller.call_once(address, "hanbit", header, body, CALL_TIMEOUT))
     }
 
     pub fn runs_of(&self, body: &str) -> u64 {
@@ -185,6 +185,6 @@
 
 /// Asserts that a completion is whole and has exactly the expected tokens.
 pub fn assert_whole(completion: &Completion, prompt: &str) {
-    assert_eq!(completion.result, CallResult::Whole, "reason {:?}", completion.reason);
+    assert_eq!(completion.result, CallResult::Complete, "reason {:?}", completion.reason);
     assert_eq!(completion.tokens, answer_tokens(prompt_hash(prompt), 160));
 }
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -46,7 +46,7 @@
             let caller = caller();
             let call = caller.complete(address, "hanbit", prompt, CALL_TIMEOUT, None);
             let completion = runtime.block_on(call);
-            completion.result == CallResult::Whole
+            completion.result == CallResult::Complete
                 && completion.tokens == answer_tokens(prompt_hash(prompt), 160)
         })
         .expect("the host serves");
@@ -98,12 +98,13 @@
     let book = |host: usize, timeout: Duration| {
         let address = fleet.hosts[host].callers;
         let caller = caller();
-        runtime.block_on(caller.book(address, "hanbit", header, body, timeout))
+        runtime.block_on(caller.call_once(address, "hanbit", header, body, timeout))
     };
     fleet.fault("reader-app", tealcleat::bench::FaultKind::Freeze, true).expect("frozen");
     let address = fleet.hosts[0].callers;
-    let aborted_call = runtime
-        .spawn(async move { caller().book(address, "hanbit", header, body, CALL_TIMEOUT).await });
+    let aborted_call = runtime.spawn(async move {
+        caller().call_once(address, "hanbit", header, body, CALL_TIMEOUT).await
+    });
     // If the caller disconnected before the service received the request, the claim would have no run.
     fleet
         .wait_until("the request at the service", || {
@@ -115,14 +116,14 @@
     // No other host can know whether the request ran: it must neither report "not run" nor run the request again.
     for host in [1, 2] {
         let (result, text) = book(host, CALL_TIMEOUT);
-        assert!(matches!(result, CallResult::Unknown | CallResult::Elsewhere), "{text}");
+        assert!(matches!(result, CallResult::Unknown | CallResult::AnsweredElsewhere), "{text}");
     }
     fleet.fault("reader-app", tealcleat::bench::FaultKind::Freeze, false).expect("unfrozen");
     send_signal(&fleet, 0, "-CONT");
     fleet
         .wait_until("one answer", || {
             let (result, _) = book(1, CALL_TIMEOUT);
-            result == CallResult::Whole
+            result == CallResult::Complete
         })
         .expect("the answer is stored");
     assert_eq!(fleet.stats().expect("stats").runs[body], 1);
@@ -154,7 +155,7 @@
         .expect("it runs");
     send_signal(&fleet, 0, "-TERM");
     let completion = runtime.block_on(stream).expect("the caller ends");
-    assert_eq!(completion.result, CallResult::Whole, "{}", completion.reason);
+    assert_eq!(completion.result, CallResult::Complete, "{}", completion.reason);
     assert!(fleet.wait_for_exit(0), "the daemon ends with success");
 }
 
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -88,7 +88,7 @@
             CALL_TIMEOUT,
             Some(leave_after),
         ));
-        assert_eq!(completion.result, CallResult::Left);
+        assert_eq!(completion.result, CallResult::Disconnected);
     }
     // One caller leaves while nothing is sent to it, since its prefill waits on a frozen engine.
     for name in ["gasan-prefill-1", "pangyo-prefill-1"] {
@@ -97,7 +97,7 @@
     let short = Duration::from_millis(200);
     let completion =
         fleet.runtime.block_on(caller.complete(address, "hanbit", "silence", short, None));
-    assert_eq!(completion.result, CallResult::Left);
+    assert_eq!(completion.result, CallResult::Disconnected);
     for name in ["gasan-prefill-1", "pangyo-prefill-1"] {
         fleet.fault(name, FaultKind::Freeze, false);
     }
@@ -111,7 +111,7 @@
     for round in 0..6 {
         let prompt = format!("handoff {round}");
         let completion = fleet.complete(round % 3, &prompt);
-        if completion.result == CallResult::Whole {
+        if completion.result == CallResult::Complete {
             assert_whole(&completion, &prompt);
         } else {
             // Its prefill ran, so the outcome must not be "not run".
@@ -182,7 +182,7 @@
     );
     fleet.fault("weights", FaultKind::Freeze, false);
     wait_until("the new version to serve", || {
-        fleet.complete(0, "loaded").result == CallResult::Whole
+        fleet.complete(0, "loaded").result == CallResult::Complete
     });
 }
 
