--- a/src/bench/soak/soak_config.rs
+++ b/src/bench/soak/soak_config.rs
@@ -6,7 +6,7 @@
 
 /// Difference between successive versions.
 const VERSION_STEP: u64 = 3;
-/// Number of versions that have a marker route: the one that adds it and those that follow. The next one drops it.
+/// Number of versions that have a marker route: the one that adds it and those that follow.
 const MARKERS_KEPT: u64 = 3;
 
 impl SoakCluster {
