--- a/src/fleet/fleet_view.rs
+++ b/src/fleet/fleet_view.rs
@@ -190,7 +190,7 @@
     }
 
     /// Servers of `service` and `stage` that may get new work.
-    pub fn ready_at(
+    pub fn ready_in_stage(
         &self,
         service: ServiceKey,
         stage: ServerStage,
--- a/src/gateway/decode_reservation.rs
+++ b/src/gateway/decode_reservation.rs
@@ -112,7 +112,7 @@
     search: &MemorySearch,
 ) {
     let state = context.host.state();
-    let decodes = state.fleet.ready_at(context.service, ServerStage::Decode);
+    let decodes = state.fleet.ready_in_stage(context.service, ServerStage::Decode);
     let used: u64 =
         decodes.map(|server| u64::from(state.server_loads.total(server.key()).memory_tokens)).sum();
     log::info!(
--- a/src/gateway/event_relay.rs
+++ b/src/gateway/event_relay.rs
@@ -280,7 +280,7 @@
         context.age().as_millis(),
         context.route.objective.as_millis(),
         record.longest_pause.as_millis(),
-        context.route.longest_pause.as_millis()
+        context.route.pause_objective.as_millis()
     );
     let mut metrics = context.host.metrics();
     metrics.add(end.name(), 1);
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -85,14 +85,14 @@
     /// Another living host of the same failure domain; `salt` varies the choice.
     pub fn same_domain_member(&self, salt: u64) -> Option<MemberUpdate> {
         let own = self.members.own();
-        let members = self.members.owners(own.domain).map(|(_, member)| member);
+        let members = self.members.living_in(own.domain).map(|(_, member)| member);
         let others = members.filter(|member| member.incarnation != own.incarnation);
         others.min_by_key(|member| mix_hash(salt, member.incarnation.0))
     }
 
     /// The host that watches the store on behalf of a failure domain.
     pub fn watcher(&self, now: TimePoint, domain: NameKey) -> Option<IncarnationId> {
-        let hosts = self.members.owners(domain).map(|(_, member)| member.incarnation);
+        let hosts = self.members.living_in(domain).map(|(_, member)| member.incarnation);
         self.refused_hosts.elect(now, hosts)
     }
 
@@ -100,7 +100,7 @@
     /// among the watcher candidates, if it is a candidate, or any other host if it is not.
     pub fn silent_for(&self, now: TimePoint) -> Option<Duration> {
         let own = self.members.own();
-        let hosts = self.members.owners(own.domain).map(|(_, member)| member.incarnation);
+        let hosts = self.members.living_in(own.domain).map(|(_, member)| member.incarnation);
         let before = self.refused_hosts.predecessors(now, own.incarnation, hosts);
         self.members.silent_for(now, |host| before.is_empty() || before.contains(&host))
     }
@@ -110,7 +110,7 @@
     /// to another one.
     pub fn watcher_candidates(&self) -> Vec<SocketAddr> {
         let own = self.members.own();
-        let hosts = self.members.owners(own.domain).map(|(_, member)| member.incarnation);
+        let hosts = self.members.living_in(own.domain).map(|(_, member)| member.incarnation);
         let others = RefusedHosts::other_candidates(own.incarnation, hosts);
         let known = others.into_iter().filter_map(|host| self.members.record(host));
         known.map(|record| record.update.address).collect()
--- a/src/gateway/limit_charge.rs
+++ b/src/gateway/limit_charge.rs
@@ -279,7 +279,7 @@
 impl GatewayState {
     /// The owner of an organisation's limit in a failure domain.
     fn owner(&self, now: TimePoint, org: OrgKey, domain: NameKey) -> OwnerChoice {
-        let hosts = self.members.owners(domain).map(|(_, host)| host);
+        let hosts = self.members.living_in(domain).map(|(_, host)| host);
         let is_alone = self.members.is_alone();
         let own = self.members.own().incarnation;
         crate::limits::choose_owner(now, org, own, is_alone, hosts, &self.silent_owners)
--- a/src/gateway/retry_grants.rs
+++ b/src/gateway/retry_grants.rs
@@ -78,7 +78,7 @@
     /// The host that grants retries of a service's requests in this host's failure domain.
     fn pool_owner(&self, now: TimePoint, service: ServiceKey) -> OwnerChoice {
         let own = self.members.own();
-        let hosts = self.members.owners(own.domain).map(|(_, host)| host);
+        let hosts = self.members.living_in(own.domain).map(|(_, host)| host);
         let is_alone = self.members.is_alone();
         choose_owner(now, service, own.incarnation, is_alone, hosts, &self.silent_owners)
     }
--- a/src/gateway/send_owner.rs
+++ b/src/gateway/send_owner.rs
@@ -143,7 +143,7 @@
     /// the server is unknown.
     fn send_owner(&self, now: TimePoint, server: ServerKey) -> OwnerChoice {
         let domain = self.fleet.entry(server).map(|entry| entry.domain);
-        let local_hosts = domain.into_iter().flat_map(|domain| self.members.owners(domain));
+        let local_hosts = domain.into_iter().flat_map(|domain| self.members.living_in(domain));
         let mut hosts: Vec<MemberUpdate> = local_hosts.map(|(_, host)| host).collect();
         if hosts.is_empty() {
             hosts = self.members.living().map(|(_, host)| host).collect();
--- a/src/gateway/stage_loop.rs
+++ b/src/gateway/stage_loop.rs
@@ -190,7 +190,7 @@
 ) -> Vec<ServerEntry> {
     let mut candidates: Vec<&ServerEntry> = state
         .fleet
-        .ready_at(service, to.other())
+        .ready_in_stage(service, to.other())
         .filter(|entry| {
             !controller.orders.is_excluded(entry.key()) && accepts_work(state, now, entry)
         })
--- a/src/gateway/view_loop.rs
+++ b/src/gateway/view_loop.rs
@@ -197,7 +197,7 @@
                 .refused_at
                 .filter(|at| *at > state.store_answered_at)
                 .map(|at| now.since(at)),
-            domain_hosts: state.members.owners(domain).count(),
+            domain_hosts: state.members.living_in(domain).count(),
             salt: self.incarnation.0,
         }
     }
@@ -226,7 +226,7 @@
         if self.reads_periodically(kind) && self.is_watcher() {
             return KEYED_PAUSE;
         }
-        scaled_interval(MAX_PAUSE, self.state().members.owners(self.domain()).count())
+        scaled_interval(MAX_PAUSE, self.state().members.living_in(self.domain()).count())
     }
 }
 
--- a/src/host/attempt_guard.rs
+++ b/src/host/attempt_guard.rs
@@ -1,7 +1,7 @@
 use super::AttemptState;
 use super::host_state::{HostState, lock};
 use crate::keys::{AttemptId, NameKey, ServerKey};
-use crate::peers::StopReport;
+use crate::peers::AttemptReport;
 use crate::placement::SlotClaim;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
     decode: Option<ServerLocation>,
     on_prefill_engine: bool,
     on_decode_engine: bool,
-    final_report: StopReport,
+    final_report: AttemptReport,
     reports_to_owner: bool,
 }
 
@@ -49,7 +49,7 @@
             decode: None,
             on_prefill_engine: false,
             on_decode_engine: false,
-            final_report: StopReport::GivenUp,
+            final_report: AttemptReport::GivenUp,
             reports_to_owner,
         }
     }
@@ -63,7 +63,7 @@
     /// Releases the held slot.
     pub fn release_decode(&mut self) {
         if let Some(server) = self.decode.take() {
-            self.send_report(server, StopReport::GivenUp);
+            self.send_report(server, AttemptReport::GivenUp);
             self.update_state(|state| state.decode = None);
         }
     }
@@ -75,8 +75,8 @@
     }
 
     /// Records how the prefill ended; after a failure the engine may still hold the attempt.
-    pub fn end_prefill(&mut self, report: StopReport) {
-        self.on_prefill_engine = report == StopReport::Failed;
+    pub fn end_prefill(&mut self, report: AttemptReport) {
+        self.on_prefill_engine = report == AttemptReport::Failed;
         if let Some(server) = self.prefill {
             self.send_report(server, report);
             if !self.on_prefill_engine {
@@ -93,7 +93,7 @@
     /// Records that the KV cache has arrived and the engine decodes.
     pub fn record_decoding(&mut self, max_tokens: u32) {
         if let Some(server) = self.decode {
-            self.send_report(server, StopReport::Decoding { max_tokens });
+            self.send_report(server, AttemptReport::Decoding { max_tokens });
             self.update_state(|state| state.claim.running = true);
         }
     }
@@ -101,15 +101,15 @@
     /// Records that the decode engine ended the stream itself.
     pub fn end_decode(&mut self, produced: u32) {
         self.on_decode_engine = false;
-        self.final_report = StopReport::Ended { produced };
+        self.final_report = AttemptReport::Ended { produced };
     }
 
     /// Records that the decode engine failed or stalled; it may still hold the attempt.
     pub fn fail_decode(&mut self) {
-        self.final_report = StopReport::Failed;
+        self.final_report = AttemptReport::Failed;
     }
 
-    fn send_report(&self, server: ServerLocation, report: StopReport) {
+    fn send_report(&self, server: ServerLocation, report: AttemptReport) {
         if self.reports_to_owner {
             self.host.report(server.key, server.domain, self.attempt, report);
         }
@@ -126,7 +126,7 @@
     fn drop(&mut self) {
         lock(&self.host.attempts).remove(&self.attempt);
         if let Some(server) = self.prefill.filter(|_| self.on_prefill_engine) {
-            self.send_report(server, StopReport::GivenUp);
+            self.send_report(server, AttemptReport::GivenUp);
             spawn_cancel(&self.host, server, self.attempt);
         }
         if let Some(server) = self.decode {
--- a/src/host/claim_batcher.rs
+++ b/src/host/claim_batcher.rs
@@ -41,7 +41,7 @@
             domains.push(self.domain());
             domains.sort_unstable();
             domains.dedup();
-            let all = domains.into_iter().flat_map(|domain| members.owners(domain));
+            let all = domains.into_iter().flat_map(|domain| members.living_in(domain));
             rendezvous_owner(stable_hash(bucket_name(bucket).as_bytes()), all)
         };
         if let Some(batcher) = batcher
--- a/src/host/config_loop.rs
+++ b/src/host/config_loop.rs
@@ -81,7 +81,7 @@
     let object_hash = NameKey::of(INTENT_OBJECT.0).0;
     let own_rank = rendezvous_rank(object_hash, host.incarnation.0);
     let higher_ranked = members
-        .owners(host.domain())
+        .living_in(host.domain())
         .filter(|(candidate, _)| rendezvous_rank(object_hash, *candidate) > own_rank)
         .count();
     higher_ranked < WATCHERS_PER_DOMAIN
--- a/src/host/owner_calls.rs
+++ b/src/host/owner_calls.rs
@@ -5,7 +5,7 @@
 use crate::keys::{AttemptId, IncarnationId, NameKey, ServerKey};
 use crate::membership::MemberUpdate;
 use crate::peers::{
-    HoldRequest, PeerReply, PeerRequest, PlaceOffers, PlaceRequest, StartReply, StopReport,
+    AttemptReport, HoldRequest, PeerReply, PeerRequest, PlaceOffers, PlaceRequest, StartReply,
 };
 use crate::placement::{RefusalReason, rendezvous_owner};
 use crate::{Error, Result};
@@ -21,7 +21,7 @@
 impl HostState {
     /// Owner of a server's ledger: the living host of its domain with the highest rendezvous rank.
     pub(super) fn owner_of(&self, server: ServerKey, domain: NameKey) -> Option<MemberUpdate> {
-        rendezvous_owner(server.0, lock(&self.members).owners(domain))
+        rendezvous_owner(server.0, lock(&self.members).living_in(domain))
     }
 
     /// Calls another daemon; a refused connection marks it as suspect.
@@ -138,7 +138,7 @@
         server: ServerKey,
         domain: NameKey,
         attempt: AttemptId,
-        report: StopReport,
+        report: AttemptReport,
     ) {
         let Some(owner) = self.owner_of(server, domain) else {
             return;
--- a/src/host/owner_handler.rs
+++ b/src/host/owner_handler.rs
@@ -2,7 +2,7 @@
 
 use super::host_state::{HostState, lock, micros};
 use crate::keys::{AttemptId, ServerKey, TimePoint};
-use crate::peers::{HoldRequest, PlaceOffers, PlaceRequest, StartReply, StopReport};
+use crate::peers::{AttemptReport, HoldRequest, PlaceOffers, PlaceRequest, StartReply};
 use crate::placement::{PrefillRequest, RefusalReason};
 use std::sync::Arc;
 use std::time::Duration;
@@ -94,7 +94,7 @@
         self: &Arc<Self>,
         key: ServerKey,
         attempt: AttemptId,
-        report: StopReport,
+        report: AttemptReport,
     ) {
         let now = self.now();
         {
@@ -104,20 +104,20 @@
             };
             let ledger = &mut server.ledger;
             match report {
-                StopReport::Prefilled { tokens, took_micros } => {
+                AttemptReport::Prefilled { tokens, took_micros } => {
                     ledger.queue.finish(attempt, tokens, Duration::from_micros(took_micros));
                     ledger.breaker.record_success();
                 }
-                StopReport::Decoding { max_tokens } => {
+                AttemptReport::Decoding { max_tokens } => {
                     ledger.slots.start(now, attempt, max_tokens);
                     ledger.breaker.record_success();
                 }
-                StopReport::Ended { produced } => ledger.release(attempt, Some(produced)),
-                StopReport::GivenUp => {
+                AttemptReport::Ended { produced } => ledger.release(attempt, Some(produced)),
+                AttemptReport::GivenUp => {
                     ledger.release(attempt, None);
                     ledger.breaker.record_abandoned();
                 }
-                StopReport::Failed => {
+                AttemptReport::Failed => {
                     ledger.release(attempt, None);
                     ledger.breaker.record_failure(now);
                 }
--- a/src/host/ownership_loop.rs
+++ b/src/host/ownership_loop.rs
@@ -33,7 +33,7 @@
     let version = host.config().version;
     let members = lock(&host.members);
     members
-        .owners(host.domain())
+        .living_in(host.domain())
         .fold(version, |sum, (candidate, _)| sum.wrapping_add(mix_hash(candidate, 1)))
 }
 
--- a/src/host/prefill_phase.rs
+++ b/src/host/prefill_phase.rs
@@ -6,7 +6,7 @@
 use super::host_state::HostState;
 use crate::engines::{PrefillCall, PrefillReply};
 use crate::keys::AttemptId;
-use crate::peers::StopReport;
+use crate::peers::AttemptReport;
 use crate::placement::WasteCause;
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,14 +38,14 @@
         () = answer.sink.closed() => return Err(AttemptEnd::CallerLeft),
     };
     let Ok(Ok(reply)) = result else {
-        guard.end_prefill(StopReport::Failed);
+        guard.end_prefill(AttemptReport::Failed);
         let spent = host.now().since(started_at);
         host.metrics().waste.record_wasted(WasteCause::PrefillFailed, spent);
         log::info!("event=prefill_failed attempt={attempt} server={}", server.address);
         return Err(AttemptEnd::Failed);
     };
     let took_micros = reply.took_micros;
-    guard.end_prefill(StopReport::Prefilled { tokens: reply.computed_tokens, took_micros });
+    guard.end_prefill(AttemptReport::Prefilled { tokens: reply.computed_tokens, took_micros });
     host.metrics().waste.record_done(Duration::from_micros(took_micros));
     host.record_span(
         request.trace,
--- a/src/membership/member_table.rs
+++ b/src/membership/member_table.rs
@@ -146,7 +146,7 @@
     }
 
     /// The living hosts of `domain`.
-    pub fn owners(&self, domain: NameKey) -> impl Iterator<Item = (u64, MemberUpdate)> {
+    pub fn living_in(&self, domain: NameKey) -> impl Iterator<Item = (u64, MemberUpdate)> {
         self.living().filter(move |(_, update)| update.domain == domain)
     }
 
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -13,8 +13,8 @@
 pub use datagram::{open_datagram, seal_datagram};
 pub use peer_client::{PeerClient, PeerTimeouts};
 pub use peer_message::{
-    ClaimReply, HoldRequest, PeerReply, PeerRequest, PlaceOffers, PlaceRequest, PresentedReply,
-    StartReply, StopReport,
+    AttemptReport, ClaimReply, HoldRequest, PeerReply, PeerRequest, PlaceOffers, PlaceRequest,
+    PresentedReply, StartReply,
 };
 pub use peer_server::{PeerHandler, serve_peers};
 pub use proof::{prove_as_client, prove_as_server};
--- a/src/peers/peer_message.rs
+++ b/src/peers/peer_message.rs
@@ -76,7 +76,7 @@
 
 /// Progress or end of an attempt on a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum StopReport {
+pub enum AttemptReport {
     /// The prefill finished.
     Prefilled {
         /// Number of tokens computed.
@@ -116,7 +116,7 @@
     /// Queues an attempt at a prefill server; the reply is sent when the attempt may start.
     Enqueue(ServerKey, PlaceRequest),
     /// Reports a change of an attempt on a server.
-    Report(ServerKey, AttemptId, StopReport),
+    Report(ServerKey, AttemptId, AttemptReport),
     /// Requests the claims of the receiver's attempts on a server, sent by the server's new owner.
     Claims(ServerKey),
     /// Asks which of these attempts the receiver still works on.
--- a/src/platform/config_wire.rs
+++ b/src/platform/config_wire.rs
@@ -179,7 +179,7 @@
             priority: wire.priority as u8,
             time_limit: millis(wire.timeout_ms),
             objective: millis(wire.slo_ms),
-            longest_pause: millis(wire.gap_aim_ms.unwrap_or_default()),
+            pause_objective: millis(wire.gap_aim_ms.unwrap_or_default()),
             max_servers: wire.attempts.unwrap_or(1).max(1),
             resumable: wire.can_resume,
             is_public: wire.public,
--- a/src/routes/route.rs
+++ b/src/routes/route.rs
@@ -41,7 +41,7 @@
     /// Target time to the answer, or to the first event of a stream.
     pub objective: Duration,
     /// Target for the longest pause between two events of a stream; zero if none is set.
-    pub longest_pause: Duration,
+    pub pause_objective: Duration,
     /// Maximum number of backend servers that one request is sent to.
     pub max_servers: u32,
     /// Whether an interrupted stream may continue on another server after its last event.
--- a/tests/route_updates.rs
+++ b/tests/route_updates.rs
@@ -22,7 +22,7 @@
         priority: 1,
         time_limit: Duration::from_secs(20),
         objective: Duration::from_secs(2),
-        longest_pause: Duration::ZERO,
+        pause_objective: Duration::ZERO,
         max_servers: 2,
         resumable: false,
         is_public: false,
