--- a/src/bench/bench_caller.rs
+++ b/src/bench/bench_caller.rs
@@ -7,43 +7,44 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// What a caller got.
+/// How a call ended for its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallResult {
-    /// The whole answer.
+    /// The caller received the complete answer.
     Complete,
-    /// It was told that the request did not run.
+    /// An error reply said that the request did not run.
     NotRun,
-    /// It was told that the request may have run.
+    /// An error reply said that the request may have run.
     Unknown,
-    /// It was told that the answer went elsewhere, or that the first attempt still runs.
+    /// An error reply said that the answer went to another connection, or that the first attempt
+    /// is still running.
     AnsweredElsewhere,
-    /// The connection broke without a final answer.
+    /// The connection broke before a final answer; the text says how.
     Broken(String),
-    /// It left by its own will.
+    /// The caller disconnected by itself, after a timeout or a number of tokens.
     Disconnected,
 }
 
-/// A completion as the caller saw it.
+/// A completion as its caller observed it.
 #[derive(Debug, Clone)]
 pub struct Completion {
     /// How it ended.
     pub result: CallResult,
-    /// The router's name of the request, if a head came.
-    pub request: Option<String>,
-    /// The answer's tokens.
+    /// Id that the router gave the request, if a response head arrived.
+    pub request_id: Option<String>,
+    /// Tokens received.
     pub tokens: Vec<String>,
-    /// Time to the first token.
+    /// Time from sending the request to the first token.
     pub first_token: Option<Duration>,
     /// Times between tokens.
     pub token_gaps: Vec<Duration>,
-    /// HTTP status, if a head came.
+    /// HTTP status; zero if no response head arrived.
     pub status: u16,
-    /// Why it was refused.
+    /// Reason that the error reply gave; empty if there was none.
     pub reason: String,
 }
 
-/// A caller of one deployment.
+/// A client that calls the hosts of one deployment.
 #[derive(Debug, Clone)]
 pub struct BenchCaller {
     model: &'static str,
@@ -52,7 +53,7 @@
 }
 
 impl BenchCaller {
-    /// A caller of `deployment`.
+    /// Creates a client of `deployment`.
     pub fn new(deployment: &Deployment) -> Self {
         Self {
             model: deployment.model,
@@ -61,18 +62,18 @@
         }
     }
 
-    /// Streams a completion; leaves after `patience`, or after `leave_after` tokens.
+    /// Streams a completion; disconnects after `timeout`, or after `disconnect_after` tokens.
     pub async fn complete(
         &self,
         host: SocketAddr,
         organisation: &str,
         prompt: &str,
-        patience: Duration,
-        leave_after: Option<usize>,
+        timeout: Duration,
+        disconnect_after: Option<usize>,
     ) -> Completion {
-        let mut seen = Completion {
+        let mut completion = Completion {
             result: CallResult::Disconnected,
-            request: None,
+            request_id: None,
             tokens: Vec::new(),
             first_token: None,
             token_gaps: Vec::new(),
@@ -81,13 +82,14 @@
         };
         let body =
             json!({"model": self.model, "prompt": prompt, "max_tokens": 160, "stream": true});
-        let reading = self.read_stream(host, organisation, &body, &mut seen, leave_after);
-        match tokio::time::timeout(patience, reading).await {
-            Ok(Ok(result)) => seen.result = result,
-            Ok(Err(error)) => seen.result = CallResult::Broken(error.to_string()),
-            Err(_) => seen.result = CallResult::Disconnected,
+        let stream_read =
+            self.read_stream(host, organisation, &body, &mut completion, disconnect_after);
+        match tokio::time::timeout(timeout, stream_read).await {
+            Ok(Ok(result)) => completion.result = result,
+            Ok(Err(error)) => completion.result = CallResult::Broken(error.to_string()),
+            Err(_) => completion.result = CallResult::Disconnected,
         }
-        seen
+        completion
     }
 
     async fn read_stream(
@@ -95,35 +97,35 @@
         host: SocketAddr,
         organisation: &str,
         body: &Value,
-        seen: &mut Completion,
-        leave_after: Option<usize>,
+        completion: &mut Completion,
+        disconnect_after: Option<usize>,
     ) -> Result<CallResult> {
-        let request = builder(host, "/v1/completions", organisation)
+        let request = request_builder(host, "/v1/completions", organisation)
             .body(Full::new(Bytes::from(body.to_string())))
             .map_err(|error| Error::Protocol(error.to_string()))?;
         let mut sender = HttpPool::connect(host).await?;
-        let began = Instant::now();
+        let sent_at = Instant::now();
         let response = sender.send_request(request).await?;
-        seen.status = response.status().as_u16();
-        let name = response.headers().get("tealcleat-request");
-        seen.request = name.and_then(|value| value.to_str().ok()).map(str::to_owned);
+        completion.status = response.status().as_u16();
+        let request_id = response.headers().get("tealcleat-request");
+        completion.request_id = request_id.and_then(|value| value.to_str().ok()).map(str::to_owned);
         let mut body = response.into_body();
-        if seen.status != 200 {
+        if completion.status != 200 {
             let bytes = body.collect().await?.to_bytes();
-            return Ok(final_answer(&bytes, seen));
+            return Ok(record_error(&bytes, completion));
         }
         let mut buffer = BytesMut::new();
-        let mut last = began;
+        let mut last_token_at = sent_at;
         while let Some(frame) = body.frame().await {
             if let Ok(data) = frame?.into_data() {
                 buffer.extend_from_slice(&data);
             }
             while let Some(end) = buffer.windows(2).position(|pair| pair == b"\n\n") {
                 let event = buffer.split_to(end + 2);
-                if let Some(result) = take_event(&event, began, &mut last, seen) {
+                if let Some(result) = apply_event(&event, sent_at, &mut last_token_at, completion) {
                     return Ok(result);
                 }
-                if leave_after.is_some_and(|limit| seen.tokens.len() >= limit) {
+                if disconnect_after.is_some_and(|limit| completion.tokens.len() >= limit) {
                     return Ok(CallResult::Disconnected);
                 }
             }
@@ -131,18 +133,18 @@
         Ok(CallResult::Broken("the stream ended early".to_owned()))
     }
 
-    /// Sends a call that must run at most once.
+    /// Sends a call that must run at most once; returns its result and the response body.
     pub async fn call_once(
         &self,
         host: SocketAddr,
         organisation: &str,
         header: (&str, &str),
         body: &str,
-        patience: Duration,
+        timeout: Duration,
     ) -> (CallResult, String) {
         let path = format!("/s/{}{}", self.service, self.once_path);
-        let exchange = async {
-            let request = builder(host, &path, organisation)
+        let call = async {
+            let request = request_builder(host, &path, organisation)
                 .header(header.0, header.1)
                 .body(Full::new(Bytes::from(body.to_owned())))
                 .map_err(|error| Error::Protocol(error.to_string()))?;
@@ -152,7 +154,7 @@
             let bytes = response.into_body().collect().await?.to_bytes();
             Ok::<_, Error>((status, bytes))
         };
-        match tokio::time::timeout(patience, exchange).await {
+        match tokio::time::timeout(timeout, call).await {
             Ok(Ok((200, bytes))) => {
                 (CallResult::Complete, String::from_utf8_lossy(&bytes).into_owned())
             }
@@ -166,23 +168,23 @@
     }
 }
 
-fn builder(host: SocketAddr, path: &str, organisation: &str) -> http::request::Builder {
+fn request_builder(host: SocketAddr, path: &str, organisation: &str) -> http::request::Builder {
     http::Request::post(path)
         .header("host", host.to_string())
         .header("tealcleat-organisation", organisation)
         .header("tealcleat-class", "interactive")
 }
 
-fn take_event(
+fn apply_event(
     event: &[u8],
-    began: Instant,
-    last: &mut Instant,
-    seen: &mut Completion,
+    sent_at: Instant,
+    last_token_at: &mut Instant,
+    completion: &mut Completion,
 ) -> Option<CallResult> {
     let text = String::from_utf8_lossy(event);
     if text.starts_with("event: error") {
         let data = text.split_once("data: ").map_or("", |(_, data)| data);
-        return Some(final_answer(data.trim().as_bytes(), seen));
+        return Some(record_error(data.trim().as_bytes(), completion));
     }
     let data = text.trim().strip_prefix("data: ")?;
     if data == "[DONE]" {
@@ -192,19 +194,19 @@
     let choice = &value["choices"][0];
     if choice["finish_reason"].is_null() {
         let now = Instant::now();
-        match seen.first_token {
-            None => seen.first_token = Some(now - began),
-            Some(_) => seen.token_gaps.push(now - *last),
+        match completion.first_token {
+            None => completion.first_token = Some(now - sent_at),
+            Some(_) => completion.token_gaps.push(now - *last_token_at),
         }
-        *last = now;
-        seen.tokens.push(choice["text"].as_str().unwrap_or("").to_owned());
+        *last_token_at = now;
+        completion.tokens.push(choice["text"].as_str().unwrap_or("").to_owned());
     }
     None
 }
 
-fn final_answer(bytes: &[u8], seen: &mut Completion) -> CallResult {
+fn record_error(bytes: &[u8], completion: &mut Completion) -> CallResult {
     let value: Value = serde_json::from_slice(bytes).unwrap_or(Value::Null);
-    seen.reason = value["error"]["reason"].as_str().unwrap_or("").to_owned();
+    completion.reason = value["error"]["reason"].as_str().unwrap_or("").to_owned();
     error_result(bytes)
 }
 
--- a/src/bench/bench_http.rs
+++ b/src/bench/bench_http.rs
@@ -2,12 +2,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const LIMIT: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Calls an HTTP server and returns status and body; blocks.
+/// Calls an HTTP server and returns status and body. Blocks until the response is complete.
 ///
 /// # Errors
-/// If there was no answer.
+/// If no response arrives.
 pub fn http_call(
     method: &str,
     url: &str,
@@ -16,7 +16,7 @@
 ) -> Result<(u16, String)> {
     let agent: ureq::Agent = ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(LIMIT))
+        .timeout_global(Some(CALL_TIMEOUT))
         .build()
         .into();
     let mut builder = ureq::http::Request::builder().method(method).uri(url);
@@ -31,10 +31,10 @@
     Ok((status, text))
 }
 
-/// Calls a daemon's operators' port; blocks.
+/// Calls the operators' port of a daemon and returns the response body. Blocks until it is complete.
 ///
 /// # Errors
-/// If there was no answer or it was a refusal.
+/// If no response arrives, or its status is not 200.
 pub fn operator_call(
     address: SocketAddr,
     key: &str,
--- a/src/bench/control_server.rs
+++ b/src/bench/control_server.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Serves fault switches and counters; returns the bound address.
+/// Serves the HTTP interface that switches faults and reports counters; returns its address.
 ///
 /// # Errors
 /// If the port cannot be bound.
--- a/src/bench/deployment.rs
+++ b/src/bench/deployment.rs
@@ -2,15 +2,15 @@
 use crate::intents::ServerRole;
 use serde_json::json;
 
-/// Domain, prefill servers, decode servers, entry hosts.
+/// Name of a failure domain, and its numbers of prefill servers, decode servers and entry hosts.
 type DomainSize = (&'static str, u32, u32, u32);
 
-/// A deployment to measure on.
+/// A deployment that the load generator measures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeploymentKind {
     /// The reader platform: 12 language workers, 3 reader-app servers, 9 hosts.
     Panelbridge,
-    /// Moving dispatch: 20 drafting workers, 3 booking desks, 8 hosts.
+    /// Moving dispatch: 20 drafting workers, 3 booking servers, 8 hosts.
     Halvorsen,
     /// Two domains with three hosts and four workers, for the demo and tests.
     Small,
@@ -32,26 +32,26 @@
 /// The sizes and names of a deployment, from the brief.
 #[derive(Debug, Clone)]
 pub struct Deployment {
-    /// Which one.
+    /// Which deployment it is.
     pub kind: DeploymentKind,
     domains: Vec<DomainSize>,
     /// Model name.
     pub model: &'static str,
     /// Service name.
     pub service: &'static str,
-    /// Path whose POST must run at most once.
+    /// Path of the service whose POST calls must run at most once.
     pub once_path: &'static str,
-    /// Organisations, of equal share.
+    /// Organisations; each sends an equal share of the calls.
     pub organisations: &'static [&'static str],
-    /// First-token target in milliseconds.
+    /// Target for the time to the first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Target between tokens in milliseconds.
+    /// Target for the time between tokens, in milliseconds.
     pub between_tokens_ms: u64,
-    /// Part of the requests with long prompts.
-    pub long_part: f64,
-    /// Bounds of long prompts in tokens.
+    /// Share of the completions that have long prompts.
+    pub long_share: f64,
+    /// Shortest and longest long prompt, in tokens.
     pub long_tokens: (u32, u32),
-    /// Bounds of short prompts in tokens.
+    /// Shortest and longest short prompt, in tokens.
     pub short_tokens: (u32, u32),
 }
 
@@ -68,7 +68,7 @@
                 organisations: &["hanbit", "moonpanel", "garamtoon"],
                 first_token_ms: 1500,
                 between_tokens_ms: 60,
-                long_part: 0.12,
+                long_share: 0.12,
                 long_tokens: (1100, 1700),
                 short_tokens: (40, 300),
             },
@@ -81,7 +81,7 @@
                 organisations: &["halvorsen"],
                 first_token_ms: 2000,
                 between_tokens_ms: 60,
-                long_part: 0.30,
+                long_share: 0.30,
                 long_tokens: (1200, 2000),
                 short_tokens: (20, 100),
             },
@@ -94,42 +94,43 @@
         }
     }
 
-    /// A deployment of `domains` equal domains, for measuring slopes.
+    /// A deployment of `domains` domains of equal size, four at most. It serves to measure how costs
+    /// grow with the size.
     pub fn sized(domains: u32, hosts_each: u32, prefills_each: u32, decodes_each: u32) -> Self {
         const NAMES: [&str; 4] = ["d0", "d1", "d2", "d3"];
         let base = Self::new(DeploymentKind::Small);
         let domains = (0..domains.min(4))
-            .map(|place| (NAMES[place as usize], prefills_each, decodes_each, hosts_each))
+            .map(|index| (NAMES[index as usize], prefills_each, decodes_each, hosts_each))
             .collect();
         Self { domains, ..base }
     }
 
-    /// Domain of each entry host.
+    /// Name and failure domain of each entry host.
     pub fn hosts(&self) -> Vec<(String, String)> {
         let mut hosts = Vec::new();
         for (domain, _, _, count) in &self.domains {
-            for place in 1..=*count {
-                hosts.push((format!("{domain}-{place}"), (*domain).to_owned()));
+            for index in 1..=*count {
+                hosts.push((format!("{domain}-{index}"), (*domain).to_owned()));
             }
         }
         hosts
     }
 
-    /// The stand-ins of the deployment.
+    /// Plan of the stand-ins that the deployment needs.
     pub fn standins(&self) -> StandinPlan {
         let mut engines = Vec::new();
         for (domain, prefills, decodes, _) in &self.domains {
             for (role, count) in [(ServerRole::Prefill, *prefills), (ServerRole::Decode, *decodes)]
             {
-                for place in 1..=count {
+                for index in 1..=count {
                     engines.push(EnginePlan {
-                        name: format!("{domain}-{}-{place}", role.name()),
+                        name: format!("{domain}-{}-{index}", role.name()),
                         domain: (*domain).to_owned(),
                         role,
                         models: vec![format!("{}@1", self.model)],
                         slots: 20,
-                        // Not all servers check: one in three does not.
-                        checks_fence: place % 3 != 0,
+                        // Not all servers check fences: one in three does not.
+                        checks_fence: index % 3 != 0,
                     });
                 }
             }
@@ -167,24 +168,25 @@
         .to_string()
     }
 
-    /// Prefill and decode servers.
+    /// Numbers of prefill and decode servers.
     pub fn pools(&self) -> (u32, u32) {
         self.domains.iter().fold((0, 0), |sum, domain| (sum.0 + domain.1, sum.1 + domain.2))
     }
 
-    /// Prompt tokens of a request on average.
-    pub fn mean_tokens(&self) -> f64 {
-        let middle = |(low, high): (u32, u32)| f64::from(low + high) / 2.0;
-        self.long_part * middle(self.long_tokens)
-            + (1.0 - self.long_part) * middle(self.short_tokens)
+    /// Mean length of a prompt in tokens.
+    pub fn mean_prompt_tokens(&self) -> f64 {
+        let midpoint = |(low, high): (u32, u32)| f64::from(low + high) / 2.0;
+        self.long_share * midpoint(self.long_tokens)
+            + (1.0 - self.long_share) * midpoint(self.short_tokens)
     }
 
-    /// Requests a second that the pools can carry, and which pool binds; docs/MEASUREMENTS.md has
-    /// the reckoning. No cache hits are assumed.
+    /// Requests per second that the smaller of the two pools can serve without cache hits, for
+    /// answers of `mean_answer` tokens; docs/MEASUREMENTS.md derives it.
     pub fn capacity(&self, mean_answer: f64) -> f64 {
         let timing = super::EngineTiming::STANDARD;
         let (prefills, decodes) = self.pools();
-        let prefill = f64::from(prefills) * timing.prefill_tokens_per_second / self.mean_tokens();
+        let prefill =
+            f64::from(prefills) * timing.prefill_tokens_per_second / self.mean_prompt_tokens();
         let step = timing.step_base + timing.step_per_request * 20;
         let decode = f64::from(decodes) * 20.0 / (mean_answer * step.as_secs_f64());
         prefill.min(decode)
--- a/src/bench/engine_core.rs
+++ b/src/bench/engine_core.rs
@@ -14,43 +14,43 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Mutex as FairMutex, Semaphore};
 
-/// Reports are at least this old when they are sent.
+/// Minimum age of a load report when it is sent.
 const REPORT_LAG: Duration = Duration::from_millis(400);
 const SNAPSHOT_PERIOD: Duration = Duration::from_millis(100);
 const CACHE_BLOCKS: usize = 1024;
-const KEPT_EVENTS: usize = 400;
+const MAX_CACHE_EVENTS: usize = 400;
 
 #[derive(Debug, Clone)]
 struct Snapshot {
-    at: Instant,
+    taken_at: Instant,
     load: EngineLoad,
     event_count: u64,
 }
 
-/// The state of one engine.
+/// State of one simulated engine.
 #[derive(Debug)]
 pub struct EngineCore {
-    /// How it was planned.
+    /// Plan that the engine was started from.
     pub plan: EnginePlan,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Its cost model.
+    /// Cost model.
     pub timing: EngineTiming,
-    /// Its faults.
+    /// Faults that are switched on.
     pub faults: FaultSwitch,
-    /// One prefill at a time, in the order of arrival.
-    pub lane: FairMutex<()>,
-    /// One transfer at a time.
-    pub link: FairMutex<()>,
+    /// Admits one prefill at a time, in the order of arrival.
+    pub prefill_lane: FairMutex<()>,
+    /// Admits one KV cache transfer at a time.
+    pub transfer_link: FairMutex<()>,
     /// Decode slots, granted in the order of arrival.
     pub slots: Arc<Semaphore>,
-    /// All prefill results of the process.
+    /// Prefill results of all engines in the process.
     pub results: Arc<KvStore>,
-    /// Where models' weights come from.
+    /// Store that the engine pulls model weights from.
     pub weights: Arc<WeightStore>,
-    /// Requests that decode now.
+    /// Number of requests that are decoding now.
     pub active: AtomicU64,
-    /// Time for which decode slots were taken, in microseconds.
+    /// Total time for which decode slots were in use, in microseconds.
     pub slot_micros: AtomicU64,
     backlog_micros: AtomicU64,
     handles: AtomicU64,
@@ -68,7 +68,7 @@
 }
 
 impl EngineCore {
-    /// An engine as planned.
+    /// Creates an engine from its plan.
     pub fn new(
         plan: EnginePlan,
         address: SocketAddr,
@@ -81,8 +81,8 @@
             address,
             timing: EngineTiming::STANDARD,
             faults: FaultSwitch::default(),
-            lane: FairMutex::new(()),
-            link: FairMutex::new(()),
+            prefill_lane: FairMutex::new(()),
+            transfer_link: FairMutex::new(()),
             slots: Arc::new(Semaphore::new(plan.slots as usize)),
             results,
             weights,
@@ -101,20 +101,20 @@
         }
     }
 
-    /// Holds an attempt.
+    /// Registers an attempt as held.
     pub fn hold(&self, attempt: &str) -> Arc<HeldAttempt> {
         let held = Arc::new(HeldAttempt::default());
         lock(&self.held).insert(attempt.to_owned(), Arc::clone(&held));
         held
     }
 
-    /// The held attempt.
+    /// Returns an attempt if it is held.
     pub fn held(&self, attempt: &str) -> Option<Arc<HeldAttempt>> {
         lock(&self.held).get(attempt).cloned()
     }
 
-    /// Lets an attempt go; true if it was held.
-    pub fn let_go(&self, attempt: &str) -> bool {
+    /// Cancels and releases an attempt; returns whether it was held.
+    pub fn release(&self, attempt: &str) -> bool {
         let held = lock(&self.held).remove(attempt);
         if let Some(held) = &held {
             held.cancelled.store(true, Ordering::Relaxed);
@@ -123,82 +123,83 @@
         held.is_some()
     }
 
-    /// Attempts held at this very moment.
+    /// Number of attempts held now.
     pub fn held_count(&self) -> usize {
         lock(&self.held).len()
     }
 
-    /// Loses everything, as a crash does.
+    /// Releases all attempts and clears the prefix cache, as a crash does.
     pub fn crash(&self) {
-        let all: Vec<String> = lock(&self.held).keys().cloned().collect();
-        for attempt in all {
-            self.let_go(&attempt);
+        let attempts: Vec<String> = lock(&self.held).keys().cloned().collect();
+        for attempt in attempts {
+            self.release(&attempt);
         }
         lock(&self.cache).clear();
     }
 
-    /// Present step time for the running batch.
-    pub fn step(&self) -> Duration {
+    /// Duration of a decode step with the requests that are decoding now.
+    pub fn step_time(&self) -> Duration {
         let active = u32::try_from(self.active.load(Ordering::Relaxed)).unwrap_or(0);
         self.timing.step_base + self.timing.step_per_request * active
     }
 
-    /// The number of a new prefill result.
-    pub fn new_handle(&self) -> u64 {
+    /// Returns a handle for a new prefill result.
+    pub fn next_handle(&self) -> u64 {
         self.handles.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Prompt tokens that must be computed, given the cache; stores the blocks.
-    pub fn use_cache(&self, blocks: &[u64], tokens: u32) -> u32 {
+    /// Stores a prompt's blocks in the prefix cache; returns how many of its tokens were not cached
+    /// and must be computed, at least one.
+    pub fn cache_prompt(&self, blocks: &[u64], tokens: u32) -> u32 {
         let mut cache = lock(&self.cache);
         let cached = cache.cached_tokens(blocks);
         cache.record_stored(blocks);
         drop(cache);
         let mut events = lock(&self.events);
         events.push_back(CacheEvent::Stored(blocks.to_vec()));
-        if events.len() > KEPT_EVENTS {
+        if events.len() > MAX_CACHE_EVENTS {
             events.pop_front();
         }
         self.event_count.fetch_add(1, Ordering::Relaxed);
         tokens.saturating_sub(cached).max(1)
     }
 
-    /// Adds queued prefill work, or takes it away.
+    /// Adds queued prefill work in microseconds; a negative number removes it.
     pub fn change_backlog(&self, micros: i64) {
         self.backlog_micros.fetch_add(micros as u64, Ordering::Relaxed);
     }
 
-    /// Notes prefill work done for a caller's request.
-    pub fn log_prefill(&self, request: &str, micros: u64) {
+    /// Records prefill work done for a caller's request.
+    pub fn record_prefill(&self, request: &str, micros: u64) {
         lock(&self.prefill_log).push((request.to_owned(), micros));
     }
 
-    /// All prefill work done, by request.
+    /// All recorded prefill work: request and microseconds.
     pub fn prefill_log(&self) -> Vec<(String, u64)> {
         lock(&self.prefill_log).clone()
     }
 
-    /// Its present role.
+    /// Current role.
     pub fn role(&self) -> ServerRole {
         lock(&self.order).role
     }
 
-    /// Whether it was ordered to refuse new work.
+    /// Whether an order told it to refuse new work.
     pub fn is_draining(&self) -> bool {
         lock(&self.order).draining
     }
 
-    /// Whether it holds a model, in any version.
+    /// Whether it has loaded a model, in any version.
     pub fn has_model(&self, name: &str) -> bool {
         let order = lock(&self.order);
         order.models.iter().any(|model| model.split('@').next() == Some(name))
     }
 
-    /// Obeys an order unless a fence forbids it.
+    /// Applies an order, which may first pull the weights of new models.
     ///
     /// # Errors
-    /// What forbids it.
-    pub async fn obey(&self, order: ServerOrder) -> Result<(), String> {
+    /// If the engine checks fences and the order's fence is lower than the current one.
+    pub async fn apply_order(&self, order: ServerOrder) -> Result<(), String> {
         let pulls = {
             let mut current = lock(&self.order);
             if self.plan.checks_fence && order.fence < current.fence {
@@ -219,26 +220,27 @@
         Ok(())
     }
 
-    /// The lagged report, with cache events after `after`.
+    /// Returns the load as it was one report lag ago, with the cache events since event `after`.
     pub fn report(&self, after: u64) -> EngineLoad {
         let snapshots = lock(&self.snapshots);
-        let old = snapshots.iter().rev().find(|snapshot| snapshot.at.elapsed() >= REPORT_LAG);
+        let old = snapshots.iter().rev().find(|snapshot| snapshot.taken_at.elapsed() >= REPORT_LAG);
         let Some(snapshot) = old.or(snapshots.front()).cloned() else {
-            return self.load_now();
+            return self.current_load();
         };
         drop(snapshots);
         let mut load = snapshot.load;
-        load.age_ms = snapshot.at.elapsed().as_millis() as u64;
+        load.age_ms = snapshot.taken_at.elapsed().as_millis() as u64;
         load.cache = self.events_between(after, snapshot.event_count);
         load
     }
 
-    /// Takes snapshots until the process ends.
+    /// Takes periodic snapshots of the load until the process ends.
     pub async fn take_snapshots(self: Arc<Self>) {
         loop {
             {
                 let event_count = self.event_count.load(Ordering::Relaxed);
-                let snapshot = Snapshot { at: Instant::now(), load: self.load_now(), event_count };
+                let snapshot =
+                    Snapshot { taken_at: Instant::now(), load: self.current_load(), event_count };
                 let mut snapshots = lock(&self.snapshots);
                 snapshots.push_back(snapshot);
                 if snapshots.len() > 10 {
@@ -262,7 +264,7 @@
         CacheEvents { next: until.max(after), gap: after < first, events }
     }
 
-    fn load_now(&self) -> EngineLoad {
+    fn current_load(&self) -> EngineLoad {
         let order = lock(&self.order).clone();
         let held: Vec<String> = lock(&self.held).keys().cloned().collect();
         let idle = self.active.load(Ordering::Relaxed) == 0;
@@ -275,7 +277,7 @@
             held,
             capacity: self.plan.slots,
             backlog_ms: (self.backlog_micros.load(Ordering::Relaxed) as i64).max(0) as u64 / 1000,
-            step_micros: if idle { 0 } else { self.step().as_micros() as u64 },
+            step_micros: if idle { 0 } else { self.step_time().as_micros() as u64 },
             cache: CacheEvents::default(),
         }
     }
--- a/src/bench/engine_server.rs
+++ b/src/bench/engine_server.rs
@@ -23,8 +23,9 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
-/// Engines close no resting connection; a minute is longer than their callers let one rest.
-const KEPT: &str = "timeout=60";
+/// Announced keep-alive time. Engines close no idle connection; a minute is longer than their
+/// callers leave one idle.
+const KEEP_ALIVE: &str = "timeout=60";
 
 type EngineResponse = Response<UnsyncBoxBody<Bytes, std::io::Error>>;
 
@@ -45,7 +46,7 @@
     }
 }
 
-/// Answers a call, sends its id back, and says how long the connection is kept.
+/// Answers a call; the response repeats the call id and announces the keep-alive time.
 async fn answer(
     engine: Arc<EngineCore>,
     request: Request<Incoming>,
@@ -53,7 +54,7 @@
     let id = request.headers().get(CALL_ID).cloned();
     let mut response = respond(engine, request).await;
     let headers = response.headers_mut();
-    headers.insert("keep-alive", HeaderValue::from_static(KEPT));
+    headers.insert("keep-alive", HeaderValue::from_static(KEEP_ALIVE));
     if let Some(id) = id {
         headers.insert(CALL_ID, id);
     }
@@ -63,97 +64,98 @@
 async fn respond(engine: Arc<EngineCore>, request: Request<Incoming>) -> EngineResponse {
     let path = request.uri().path().to_owned();
     let query = request.uri().query().unwrap_or("").to_owned();
-    engine.faults.thawed().await;
+    engine.faults.wait_while_frozen().await;
     let Ok(body) = request.into_body().collect().await else {
-        return refuse(StatusCode::BAD_REQUEST, "broken body");
+        return error_response(StatusCode::BAD_REQUEST, "broken body");
     };
     let body = body.to_bytes();
     match path.as_str() {
         "/v1/load" => {
             let after = query.strip_prefix("after=").and_then(|text| text.parse().ok());
-            json(&engine.report(after.unwrap_or(u64::MAX)))
+            json_response(&engine.report(after.unwrap_or(u64::MAX)))
         }
-        "/v1/prefill" => with(&body, async |call| start_prefill(engine, call).await).await,
-        "/v1/decode" => with(&body, async |call| start_decode(engine, call)).await,
-        "/v1/resume" => with(&body, async |call| resume(engine, call)).await,
+        "/v1/prefill" => with_call(&body, async |call| start_prefill(engine, call).await).await,
+        "/v1/decode" => with_call(&body, async |call| start_decode(engine, call)).await,
+        "/v1/resume" => with_call(&body, async |call| resume(engine, call)).await,
         "/v1/cancel" => {
-            with(&body, async |call: CancelCall| {
-                json(&CancelReply { held: engine.let_go(&call.attempt) })
+            with_call(&body, async |call: CancelCall| {
+                json_response(&CancelReply { held: engine.release(&call.attempt) })
             })
             .await
         }
         "/v1/orders" => {
-            with(&body, async |order: ServerOrder| match engine.obey(order).await {
-                Ok(()) => json(&CancelReply { held: false }),
-                Err(text) => refuse(StatusCode::CONFLICT, &text),
+            with_call(&body, async |order: ServerOrder| match engine.apply_order(order).await {
+                Ok(()) => json_response(&CancelReply { held: false }),
+                Err(text) => error_response(StatusCode::CONFLICT, &text),
             })
             .await
         }
-        _ => refuse(StatusCode::NOT_FOUND, "no such call"),
+        _ => error_response(StatusCode::NOT_FOUND, "no such call"),
     }
 }
 
-async fn with<T: DeserializeOwned>(
+async fn with_call<T: DeserializeOwned>(
     body: &[u8],
     handle: impl AsyncFnOnce(T) -> EngineResponse,
 ) -> EngineResponse {
     match serde_json::from_slice(body) {
         Ok(call) => handle(call).await,
-        Err(error) => refuse(StatusCode::BAD_REQUEST, &error.to_string()),
+        Err(error) => error_response(StatusCode::BAD_REQUEST, &error.to_string()),
     }
 }
 
 async fn start_prefill(engine: Arc<EngineCore>, call: PrefillCall) -> EngineResponse {
     if engine.role() != ServerRole::Prefill || !engine.has_model(&call.model) {
-        return refuse(StatusCode::CONFLICT, "not a prefill engine for this model");
+        return error_response(StatusCode::CONFLICT, "not a prefill engine for this model");
     }
-    // A task of its own: a broken connection does not stop an engine.
+    // Runs in a separate task, because a caller's broken connection does not stop an engine.
     match tokio::spawn(prefill(engine, call)).await {
-        Ok(Ok(done)) => json(&done),
-        Ok(Err(reason)) => refuse(StatusCode::CONFLICT, &reason),
-        Err(_) => refuse(StatusCode::INTERNAL_SERVER_ERROR, "lost"),
+        Ok(Ok(done)) => json_response(&done),
+        Ok(Err(reason)) => error_response(StatusCode::CONFLICT, &reason),
+        Err(_) => error_response(StatusCode::INTERNAL_SERVER_ERROR, "lost"),
     }
 }
 
 fn start_decode(engine: Arc<EngineCore>, call: DecodeCall) -> EngineResponse {
     if engine.role() != ServerRole::Decode {
-        return refuse(StatusCode::CONFLICT, "not a decode engine");
+        return error_response(StatusCode::CONFLICT, "not a decode engine");
     }
     let (attempt, next_index) = (call.attempt.clone(), call.next_index);
-    let held = decode_engine::begin(&engine, call);
+    let held = decode_engine::start_attempt(&engine, call);
     let (sender, receiver) = unbounded_channel();
-    tokio::spawn(decode_engine::follow(engine, attempt, held, next_index, sender));
+    tokio::spawn(decode_engine::send_events(engine, attempt, held, next_index, sender));
     Response::new(UnsyncBoxBody::new(EventBody { receiver, ended: false }))
 }
 
 fn resume(engine: Arc<EngineCore>, call: ResumeCall) -> EngineResponse {
     let Some(held) = engine.held(&call.attempt) else {
-        return refuse(StatusCode::NOT_FOUND, "the attempt is not held");
+        return error_response(StatusCode::NOT_FOUND, "the attempt is not held");
     };
     let (sender, receiver) = unbounded_channel();
-    tokio::spawn(decode_engine::follow(engine, call.attempt, held, call.next_index, sender));
+    tokio::spawn(decode_engine::send_events(engine, call.attempt, held, call.next_index, sender));
     Response::new(UnsyncBoxBody::new(EventBody { receiver, ended: false }))
 }
 
-fn json(value: &impl Serialize) -> EngineResponse {
+fn json_response(value: &impl Serialize) -> EngineResponse {
     match serde_json::to_vec(value) {
-        Ok(bytes) => whole(bytes),
-        Err(error) => refuse(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
+        Ok(bytes) => full_response(bytes),
+        Err(error) => error_response(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
     }
 }
 
-fn refuse(status: StatusCode, text: &str) -> EngineResponse {
-    let mut response = whole(text.as_bytes().to_vec());
+fn error_response(status: StatusCode, text: &str) -> EngineResponse {
+    let mut response = full_response(text.as_bytes().to_vec());
     *response.status_mut() = status;
     response
 }
 
-fn whole(bytes: Vec<u8>) -> EngineResponse {
+fn full_response(bytes: Vec<u8>) -> EngineResponse {
     let body = Full::new(Bytes::from(bytes)).map_err(|never| match never {});
     Response::new(UnsyncBoxBody::new(body))
 }
 
-/// Events as JSON lines; a stream that ends without its last event breaks its connection.
+/// Response body that writes events as JSON lines. If the stream ends before its last event, the
+/// body fails and breaks the connection.
 struct EventBody {
     receiver: UnboundedReceiver<StreamEvent>,
     ended: bool,
--- a/src/bench/engine_timing.rs
+++ b/src/bench/engine_timing.rs
@@ -1,24 +1,24 @@
 use std::time::Duration;
 
-/// The stand-ins' cost model; see docs/MEASUREMENTS.md for where each figure comes from.
+/// Cost model of the simulated engines; docs/MEASUREMENTS.md gives the source of each figure.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineTiming {
-    /// Prompt tokens prefilled a second.
+    /// Prompt tokens that an engine prefills per second.
     pub prefill_tokens_per_second: f64,
-    /// KV cache bytes of a token.
+    /// Size of the KV cache per token, in bytes.
     pub kv_bytes_per_token: u64,
-    /// Rate of the link into a decode engine.
+    /// Bandwidth of the link into a decode engine, in bytes per second.
     pub link_bytes_per_second: f64,
-    /// A decode step with an empty batch.
+    /// Duration of a decode step with an empty batch.
     pub step_base: Duration,
-    /// Added to the step by each running request.
+    /// Time that each running request adds to a decode step.
     pub step_per_request: Duration,
-    /// Time to load a model's weights, one engine after the other.
+    /// Time to pull a model's weights; engines pull one after the other.
     pub weight_pull: Duration,
 }
 
 impl EngineTiming {
-    /// The timing of every measurement.
+    /// The timing that all measurements use.
     pub const STANDARD: Self = Self {
         prefill_tokens_per_second: 2000.0,
         kv_bytes_per_token: 200_000,
--- a/src/bench/fault_switch.rs
+++ b/src/bench/fault_switch.rs
@@ -1,38 +1,38 @@
 use serde::{Deserialize, Serialize};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// A fault that can be switched from outside while the stand-ins run.
+/// A fault that can be injected into a running stand-in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// The target answers nothing and makes no progress until switched off.
+    /// The target sends no answers and makes no progress until the fault is switched off.
     Freeze,
-    /// The engine loses everything it holds and breaks its connections, once.
+    /// The engine once loses all its attempts and its cache, and breaks its connections.
     Crash,
-    /// Transfers into the decode engine make no progress until switched off.
+    /// Transfers into the decode engine make no progress until the fault is switched off.
     LinkStall,
     /// The platform refuses all calls.
     Outage,
-    /// The platform does writes but loses their answers.
+    /// The platform performs writes but loses the answers.
     LoseAnswers,
     /// The service runs requests but loses their answers.
     LoseService,
-    /// The engine closes its streams' connections once, but goes on generating.
+    /// The engine once closes the connections of its streams, but continues to generate.
     CutStreams,
 }
 
-/// A command to switch a fault.
+/// A command that switches a fault on or off.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FaultCommand {
     /// Name of the engine or service, `platform`, or `weights` for the weight store.
     pub target: String,
-    /// The fault.
+    /// The fault to switch.
     pub fault: FaultKind,
-    /// On or off.
+    /// Whether the fault is switched on.
     pub on: bool,
 }
 
-/// The switches of one target.
+/// State of the faults of one target.
 #[derive(Debug, Default)]
 pub struct FaultSwitch {
     frozen: AtomicBool,
@@ -44,7 +44,7 @@
 }
 
 impl FaultSwitch {
-    /// Switches a fault.
+    /// Switches a fault on or off.
     pub fn switch(&self, fault: FaultKind, on: bool) {
         match fault {
             FaultKind::Freeze => self.frozen.store(on, Ordering::Relaxed),
@@ -62,18 +62,18 @@
         }
     }
 
-    /// Whether nothing moves.
+    /// Whether the target is frozen.
     pub fn is_frozen(&self) -> bool {
         self.frozen.load(Ordering::Relaxed)
     }
 
-    /// Whether transfers stall.
+    /// Whether transfers into the engine stall.
     pub fn is_link_stalled(&self) -> bool {
         self.link_stalled.load(Ordering::Relaxed)
     }
 
     /// Whether all calls are refused.
-    pub fn is_out(&self) -> bool {
+    pub fn has_outage(&self) -> bool {
         self.outage.load(Ordering::Relaxed)
     }
 
@@ -82,18 +82,18 @@
         self.lose_answers.load(Ordering::Relaxed)
     }
 
-    /// Crashes so far.
+    /// Number of crashes so far.
     pub fn crashes(&self) -> u64 {
         self.crashes.load(Ordering::Relaxed)
     }
 
-    /// Cuts of all streams so far.
+    /// How often all streams have been cut so far.
     pub fn cuts(&self) -> u64 {
         self.cuts.load(Ordering::Relaxed)
     }
 
-    /// Waits until the target moves again.
-    pub async fn thawed(&self) {
+    /// Waits until the target is no longer frozen.
+    pub async fn wait_while_frozen(&self) {
         while self.is_frozen() {
             tokio::time::sleep(std::time::Duration::from_millis(10)).await;
         }
--- a/src/bench/fleet.rs
+++ b/src/bench/fleet.rs
@@ -13,15 +13,15 @@
 
 const SHARED_KEY: &str = "bench-shared-key-0123456789";
 const OPERATOR_KEY: &str = "bench-operator-key-0123456789";
-const READY_LIMIT: Duration = Duration::from_secs(20);
-const LOOK: Duration = Duration::from_millis(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Daemons and stand-ins, each a process of its own, stopped when dropped.
+/// Daemon processes and the process of their stand-ins; all are killed when the fleet is dropped.
 #[derive(Debug)]
 pub struct Fleet {
     /// The daemons.
     pub hosts: Vec<HostProcess>,
-    /// Where the stand-ins listen.
+    /// Addresses of the stand-ins.
     pub addresses: StandinAddresses,
     options: FleetOptions,
     folder: PathBuf,
@@ -29,10 +29,10 @@
 }
 
 impl Fleet {
-    /// Starts stand-ins and daemons; nothing is configured yet.
+    /// Starts stand-ins and daemons, which have no configuration yet.
     ///
     /// # Errors
-    /// If a program cannot be started or does not get ready.
+    /// If a program cannot be started or does not become ready in time.
     pub fn start(options: FleetOptions) -> Result<Self> {
         let folder = std::env::temp_dir().join(format!(
             "tealcleat-{}-{:08x}",
@@ -56,7 +56,7 @@
     /// Starts a fleet and confirms the deployment's intent.
     ///
     /// # Errors
-    /// If it does not get ready.
+    /// If the fleet cannot be started or does not become ready in time.
     pub fn start_configured(options: FleetOptions) -> Result<Self> {
         let fleet = Self::start(options)?;
         let intent = fleet.options.deployment.intent(&fleet.addresses);
@@ -65,10 +65,10 @@
         Ok(fleet)
     }
 
-    /// Plans and confirms an intent at one host; returns the new version.
+    /// Plans and confirms an intent at one host; returns the new configuration version.
     ///
     /// # Errors
-    /// If it was refused.
+    /// If the host refuses it.
     pub fn confirm(&self, host: usize, intent: &str) -> Result<u64> {
         let plan = match self.request_operator(host, "POST", "/plan", intent)? {
             OperatorReply::Plan(plan) => plan,
@@ -86,10 +86,10 @@
         }
     }
 
-    /// Asks a host's operators' port for one of its answers.
+    /// Sends a request to a host's operators' port and parses the reply.
     ///
     /// # Errors
-    /// If there was no such answer.
+    /// If there is no reply or it cannot be parsed.
     pub fn request_operator(
         &self,
         host: usize,
@@ -100,10 +100,10 @@
         Ok(serde_json::from_str(&self.operator_text(host, method, path, body)?)?)
     }
 
-    /// Asks a host's operators' port for text.
+    /// Sends a request to a host's operators' port and returns the reply's text.
     ///
     /// # Errors
-    /// If there was no answer.
+    /// If there is no reply or it is a refusal.
     pub fn operator_text(
         &self,
         host: usize,
@@ -119,24 +119,25 @@
         OPERATOR_KEY
     }
 
-    /// A host's status.
+    /// Fetches a host's status.
     ///
     /// # Errors
-    /// If there was no answer.
+    /// If there is no reply or it cannot be parsed.
     pub fn status(&self, host: usize) -> Result<HostStatus> {
         Ok(serde_json::from_str(&self.operator_text(host, "GET", "/status", "")?)?)
     }
 
-    /// Waits until every running host has `version` in force and every book is rebuilt.
+    /// Waits until every running host has applied configuration `version` and the ledgers of all
+    /// engines are rebuilt.
     ///
     /// # Errors
-    /// If that takes too long.
+    /// If that takes longer than 20 seconds.
     pub fn wait_ready(&self, version: u64) -> Result<()> {
         let servers = self.options.deployment.standins().engines.len();
         self.wait_until("readiness", || {
             let mut ready = 0;
-            for place in self.running() {
-                let Ok(status) = self.status(place) else {
+            for index in self.running() {
+                let Ok(status) = self.status(index) else {
                     return false;
                 };
                 if status.config_version < version {
@@ -148,24 +149,24 @@
         })
     }
 
-    /// Waits until `done` holds, or fails after 20 seconds.
+    /// Waits until `condition` holds; fails after 20 seconds.
     ///
     /// # Errors
-    /// [`Error::Refused`] naming `what` if it never holds.
-    pub fn wait_until(&self, what: &str, done: impl Fn() -> bool) -> Result<()> {
-        let began = Instant::now();
-        while !done() {
-            if began.elapsed() > READY_LIMIT {
-                return Err(Error::Refused(format!("{what} was not reached in {READY_LIMIT:?}")));
+    /// [`Error::Refused`], which names `what`, if the condition does not hold in time.
+    pub fn wait_until(&self, what: &str, condition: impl Fn() -> bool) -> Result<()> {
+        let started_at = Instant::now();
+        while !condition() {
+            if started_at.elapsed() > READY_TIMEOUT {
+                return Err(Error::Refused(format!("{what} was not reached in {READY_TIMEOUT:?}")));
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
-    /// Places of the hosts that run.
+    /// Indices of the running hosts.
     pub fn running(&self) -> Vec<usize> {
-        (0..self.hosts.len()).filter(|place| self.hosts[*place].child.is_some()).collect()
+        (0..self.hosts.len()).filter(|index| self.hosts[*index].child.is_some()).collect()
     }
 
     /// Kills a host's process.
@@ -181,7 +182,7 @@
         self.hosts[host].child.as_ref().map(Child::id)
     }
 
-    /// Waits for a host's process to end by itself; true if it ended well.
+    /// Waits for a host's process to exit by itself; returns whether it exited successfully.
     pub fn wait_for_exit(&mut self, host: usize) -> bool {
         match self.hosts[host].child.take() {
             Some(mut child) => child.wait().is_ok_and(|status| status.success()),
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Starts a host again, as a new incarnation at the old addresses.
+    /// Restarts a host as a new incarnation at the same addresses.
     ///
     /// # Errors
     /// If it cannot be started.
@@ -200,7 +201,7 @@
         Ok(())
     }
 
-    /// Switches a fault at the stand-ins.
+    /// Switches a fault of a stand-in.
     ///
     /// # Errors
     /// If there is no such target.
@@ -211,17 +212,17 @@
         if status == 200 { Ok(()) } else { Err(Error::Refused(text)) }
     }
 
-    /// What really happened at the stand-ins.
+    /// Fetches the stand-ins' own counters.
     ///
     /// # Errors
-    /// If there was no answer.
+    /// If there is no reply or it cannot be parsed.
     pub fn stats(&self) -> Result<StandinStats> {
         let url = format!("http://{}/stats", self.addresses.control);
         let (_, text) = http_call("GET", &url, &[], "")?;
         Ok(serde_json::from_str(&text)?)
     }
 
-    /// The folder with settings and logs.
+    /// Folder that holds the settings and logs.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
@@ -232,16 +233,16 @@
         let address = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
         let seeds: Vec<String> =
             ports.chunks(3).map(|chunk| address(chunk[1]).to_string()).collect();
-        for (place, (name, domain)) in names.into_iter().enumerate() {
-            let chunk = &ports[place * 3..place * 3 + 3];
+        for (index, (name, domain)) in names.into_iter().enumerate() {
+            let chunk = &ports[index * 3..index * 3 + 3];
             let (callers, peers, operators) =
                 (address(chunk[0]), address(chunk[1]), address(chunk[2]));
             let settings = self.folder.join(format!("{name}.json"));
-            let near: Vec<&String> = seeds.iter().take(6).collect();
+            let chosen_seeds: Vec<&String> = seeds.iter().take(6).collect();
             let text = json!({"kind": "host", "host": name, "domain": domain,
                 "callers_listen": callers.to_string(), "peers_listen": peers.to_string(),
                 "operators_listen": operators.to_string(),
-                "platform": self.addresses.platform.to_string(), "seeds": near,
+                "platform": self.addresses.platform.to_string(), "seeds": chosen_seeds,
                 "shared_key": SHARED_KEY, "operator_key": OPERATOR_KEY,
                 "policy": self.options.policy.name(), "log_level": self.options.log_level});
             std::fs::write(&settings, text.to_string())?;
@@ -257,15 +258,15 @@
             });
         }
         self.wait_until("the start of all hosts", || {
-            self.running().into_iter().all(|place| self.status(place).is_ok())
+            self.running().into_iter().all(|index| self.status(index).is_ok())
         })
         .inspect_err(|_error| self.report_logs())
     }
 
-    /// Writes what each host logged last to standard error: a failed start must name its cause.
+    /// Prints the end of each host's log to standard error, so that a failed start shows its cause.
     fn report_logs(&self) {
         for host in &self.hosts {
-            eprintln!("{}: {}", host.name, host.last_lines());
+            eprintln!("{}: {}", host.name, host.log_tail());
         }
     }
 
--- a/src/bench/fleet_options.rs
+++ b/src/bench/fleet_options.rs
@@ -2,15 +2,15 @@
 use crate::placement::PlacementPolicy;
 use std::path::PathBuf;
 
-/// How to start a fleet.
+/// Options for starting a fleet.
 #[derive(Debug, Clone)]
 pub struct FleetOptions {
-    /// What to start.
+    /// Deployment to start.
     pub deployment: Deployment,
-    /// How the daemons place.
+    /// Placement policy of the daemons.
     pub policy: PlacementPolicy,
-    /// Folder of the programs.
+    /// Folder that holds the built programs.
     pub programs: PathBuf,
-    /// Log level of the daemons; their logs go to files beside their settings.
+    /// Log level of the daemons, which log to files next to their settings.
     pub log_level: String,
 }
--- a/src/bench/gateway_process.rs
+++ b/src/bench/gateway_process.rs
@@ -5,63 +5,65 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Names the file that holds for how long a daemon was suspended, in nanoseconds of eight bytes.
-const HELD_TIME_FILE: &str = "TEALCLEAT_HELD_TIME";
-/// Names the address from which a daemon's connections come, if its environment has a library that reads it.
-const SOURCE_ADDRESS: &str = "TEALCLEAT_SOURCE";
+/// Environment variable with the path of a file that holds how long a daemon was suspended: nanoseconds, in eight
+/// bytes.
+const SUSPENDED_TIME_VARIABLE: &str = "TEALCLEAT_HELD_TIME";
+/// Environment variable with the source address of a daemon's connections. It takes effect only if the daemon's
+/// environment loads a library that reads it.
+const SOURCE_ADDRESS_VARIABLE: &str = "TEALCLEAT_SOURCE";
 
-/// How a daemon on the platform's stand-ins is started.
+/// How a daemon that uses stand-ins of the platform is started.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessPlan<'a> {
-    /// The built program.
+    /// Path of the built program.
     pub program: &'a Path,
-    /// Where its settings and log go.
+    /// Folder for its settings and log.
     pub folder: &'a Path,
-    /// Its name.
+    /// Host name.
     pub name: &'a str,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: &'a str,
-    /// Address of the machine that it is on.
+    /// Address of the machine that it runs on.
     pub machine: IpAddr,
-    /// Where it reaches the store.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// Where it reaches other daemons.
+    /// Peer addresses of other daemons that it contacts first.
     pub seeds: &'a [SocketAddr],
-    /// Where they reach it, if not where it listens.
+    /// Address that peers connect to, if it differs from the one that the daemon listens on.
     pub advertised: Option<SocketAddr>,
-    /// How long a key that was taken away may be served, if that is bounded.
+    /// Longest time for which a revoked key may still be served, if that is bounded.
     pub revocation: Option<Duration>,
-    /// Variables of its environment.
+    /// Additional environment variables.
     pub environment: &'a [(String, String)],
 }
 
-/// One daemon as a process of its own.
+/// One daemon in a separate process.
 #[derive(Debug)]
 pub struct GatewayProcess {
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub callers: SocketAddr,
-    /// Where the platform asks whether callers may come.
+    /// Address of the readiness check, at which the platform asks whether to send callers.
     pub ready: SocketAddr,
-    /// Where peers reach it.
+    /// Address that peers connect to.
     pub peers: SocketAddr,
-    /// Where it listens for them.
+    /// Address that it listens on for peers.
     pub peers_listen: SocketAddr,
     program: PathBuf,
     settings: PathBuf,
     environment: Vec<(String, String)>,
     process: Option<Child>,
     suspended_at: Option<Instant>,
-    held_nanos: u64,
+    suspended_nanos: u64,
 }
 
 impl GatewayProcess {
-    /// Writes its settings and starts it.
+    /// Writes the daemon's settings and starts it.
     ///
     /// # Errors
-    /// If there are no ports, its files cannot be written or it cannot be started.
+    /// If no ports are free, its files cannot be written or it cannot be started.
     pub fn start(plan: &ProcessPlan<'_>) -> Result<Self> {
         let ports = free_ports(4)?;
-        let at = |place: usize| SocketAddr::new(plan.machine, ports[place]);
+        let address = |index: usize| SocketAddr::new(plan.machine, ports[index]);
         let settings = plan.folder.join(format!("{}.json", plan.name));
         let seeds: Vec<String> = plan.seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
         let revocation = plan
@@ -70,7 +72,7 @@
             .unwrap_or_default();
         let advertise = plan
             .advertised
-            .map(|address| format!("\"peers_advertise\": \"{address}\", "))
+            .map(|advertised| format!("\"peers_advertise\": \"{advertised}\", "))
             .unwrap_or_default();
         let text = format!(
             "{{\"kind\": \"gateway\", \"host\": \"{}\", \"domain\": \"{}\",\n\
@@ -80,46 +82,46 @@
              {revocation}{advertise}\"retry_ratio\": 0.2, \"retry_slack\": 500, \"log_level\": \"info\"}}\n",
             plan.name,
             plan.domain,
-            at(0),
-            at(1),
-            at(2),
-            at(3),
+            address(0),
+            address(1),
+            address(2),
+            address(3),
             plan.store,
             seeds.join(", ")
         );
         std::fs::write(&settings, text)?;
-        let mut host = Self {
-            callers: at(0),
-            ready: at(1),
-            peers: plan.advertised.unwrap_or(at(2)),
-            peers_listen: at(2),
+        let mut gateway = Self {
+            callers: address(0),
+            ready: address(1),
+            peers: plan.advertised.unwrap_or(address(2)),
+            peers_listen: address(2),
             program: plan.program.to_path_buf(),
             settings,
             environment: plan.environment.to_vec(),
             process: None,
             suspended_at: None,
-            held_nanos: 0,
+            suspended_nanos: 0,
         };
-        host.restart()?;
-        Ok(host)
+        gateway.restart()?;
+        Ok(gateway)
     }
 
-    /// Starts its process, which must have ended.
+    /// Starts the process again; the previous one must have ended.
     ///
     /// # Errors
     /// If it cannot be started.
     pub fn restart(&mut self) -> Result<()> {
         self.suspended_at = None;
-        self.held_nanos = 0;
-        self.write_held()?;
+        self.suspended_nanos = 0;
+        self.write_suspended_time()?;
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
             .open(self.settings.with_extension("log"))?;
         let child = Command::new(&self.program)
             .arg(&self.settings)
-            .env(HELD_TIME_FILE, self.held_file())
-            .env(SOURCE_ADDRESS, self.callers.ip().to_string())
+            .env(SUSPENDED_TIME_VARIABLE, self.suspended_time_file())
+            .env(SOURCE_ADDRESS_VARIABLE, self.callers.ip().to_string())
             .envs(self.environment.iter().map(|(name, value)| (name, value)))
             .stdin(Stdio::null())
             .stdout(log.try_clone()?)
@@ -129,10 +131,10 @@
         Ok(())
     }
 
-    /// Sends a signal to this process.
+    /// Sends a signal to the process, if it was started.
     ///
     /// # Errors
-    /// If that fails.
+    /// If the signal cannot be sent.
     pub fn signal(&self, name: &str) -> Result<()> {
         let Some(process) = &self.process else {
             return Ok(());
@@ -141,8 +143,8 @@
         if status.success() { Ok(()) } else { Err(Error::Refused(format!("kill {name} failed"))) }
     }
 
-    /// Stops its process as a machine does that is suspended: its steady clock stands still meanwhile, if its
-    /// environment has a clock that reads the file of held times.
+    /// Stops the process, as if its machine were suspended. Its monotonic clock stands still meanwhile, if its
+    /// environment loads a clock that reads the file of suspended time.
     ///
     /// # Errors
     /// If it cannot be signalled.
@@ -152,19 +154,20 @@
         Ok(())
     }
 
-    /// Lets a stopped process go on.
+    /// Continues a suspended process.
     ///
     /// # Errors
     /// If it cannot be signalled.
     pub fn resume(&mut self) -> Result<()> {
-        if let Some(at) = self.suspended_at.take() {
-            self.held_nanos += u64::try_from(at.elapsed().as_nanos()).unwrap_or(u64::MAX);
-            self.write_held()?;
+        if let Some(suspended_at) = self.suspended_at.take() {
+            self.suspended_nanos +=
+                u64::try_from(suspended_at.elapsed().as_nanos()).unwrap_or(u64::MAX);
+            self.write_suspended_time()?;
         }
         self.signal("-CONT")
     }
 
-    /// Whether its process has ended.
+    /// Whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
         match &mut self.process {
             Some(process) => matches!(process.try_wait(), Ok(Some(_))),
@@ -172,7 +175,7 @@
         }
     }
 
-    /// What it has logged, over all of its lives.
+    /// The daemon's log, of all its incarnations.
     ///
     /// # Errors
     /// If its log cannot be read.
@@ -180,26 +183,26 @@
         Ok(std::fs::read_to_string(self.settings.with_extension("log"))?)
     }
 
-    fn held_file(&self) -> PathBuf {
+    fn suspended_time_file(&self) -> PathBuf {
         self.settings.with_extension("held")
     }
 
-    fn write_held(&self) -> Result<()> {
+    fn write_suspended_time(&self) -> Result<()> {
         use std::os::unix::fs::FileExt;
         let file = std::fs::OpenOptions::new()
             .create(true)
             .truncate(false)
             .write(true)
-            .open(self.held_file())?;
-        // In place: the process has mapped the file.
-        Ok(file.write_all_at(&self.held_nanos.to_ne_bytes(), 0)?)
+            .open(self.suspended_time_file())?;
+        // Written in place, because the process has mapped the file.
+        Ok(file.write_all_at(&self.suspended_nanos.to_ne_bytes(), 0)?)
     }
 }
 
 impl Drop for GatewayProcess {
     fn drop(&mut self) {
         if let Some(mut process) = self.process.take() {
-            // It may have ended by itself; then there is nothing to kill.
+            // The process may have ended by itself; then there is nothing to kill.
             drop(process.kill());
             drop(process.wait());
         }
--- a/src/bench/held_attempt.rs
+++ b/src/bench/held_attempt.rs
@@ -2,17 +2,17 @@
 use std::sync::atomic::AtomicBool;
 use tokio::sync::Notify;
 
-/// An attempt that the engine holds.
+/// An attempt that an engine holds.
 #[derive(Debug, Default)]
 pub struct HeldAttempt {
-    /// Set by a cancel.
+    /// Whether it was cancelled.
     pub cancelled: AtomicBool,
-    /// Tokens generated so far: index and text; `None` ends the stream.
+    /// Tokens generated so far, with index and text; `None` marks the end of the stream.
     pub output: Mutex<Vec<Option<(u32, String)>>>,
-    /// Told on every change.
+    /// Notified of every change.
     pub changed: Notify,
-    /// Why it failed.
+    /// Reason of the failure, if it failed.
     pub failure: Mutex<Option<String>>,
-    /// Whether the KV cache arrived.
+    /// Whether the KV cache has been imported.
     pub imported: AtomicBool,
 }
--- a/src/bench/host_process.rs
+++ b/src/bench/host_process.rs
@@ -2,33 +2,33 @@
 use std::path::PathBuf;
 use std::process::Child;
 
-/// One running daemon.
+/// One daemon of a fleet.
 #[derive(Debug)]
 pub struct HostProcess {
-    /// Its name.
+    /// Host name.
     pub name: String,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: String,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub callers: SocketAddr,
-    /// Where peers connect.
+    /// Address that peers connect to.
     pub peers: SocketAddr,
-    /// Where operators connect.
+    /// Address that operators connect to.
     pub operators: SocketAddr,
-    /// Its settings file.
+    /// Path of its settings file.
     pub(super) settings: PathBuf,
     /// The process, while it runs.
     pub(super) child: Option<Child>,
 }
 
-/// Last lines of a host's log that a failed start shows.
-const LINES_REPORTED: usize = 5;
+/// Number of lines at the end of a host's log that a failed start shows.
+const LOG_TAIL_LINES: usize = 5;
 
 impl HostProcess {
-    /// The end of its log, newest line first, or why it cannot be read.
-    pub fn last_lines(&self) -> String {
+    /// Returns the end of the log, newest line first, or the error if the log cannot be read.
+    pub fn log_tail(&self) -> String {
         match std::fs::read_to_string(self.settings.with_extension("log")) {
-            Ok(log) => log.lines().rev().take(LINES_REPORTED).collect::<Vec<_>>().join(" | "),
+            Ok(log) => log.lines().rev().take(LOG_TAIL_LINES).collect::<Vec<_>>().join(" | "),
             Err(error) => error.to_string(),
         }
     }
--- a/src/bench/kv_store.rs
+++ b/src/bench/kv_store.rs
@@ -3,10 +3,10 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Life of a prefill result; the brief says "under a second".
-pub const RESULT_LIFE: Duration = Duration::from_millis(800);
+/// How long a prefill result can be transferred; the brief says "under a second".
+pub const RESULT_TTL: Duration = Duration::from_millis(800);
 
-/// A prefill result that waits for its transfer.
+/// A prefill result that waits to be transferred.
 #[derive(Debug, Clone)]
 pub struct KvResult {
     /// Hash of the prompt.
@@ -18,9 +18,9 @@
 }
 
 impl KvResult {
-    /// Whether its life is over.
+    /// Whether the result has expired at `now`.
     pub fn is_expired(&self, now: Instant) -> bool {
-        now.duration_since(self.ready_at) > RESULT_LIFE
+        now.duration_since(self.ready_at) > RESULT_TTL
     }
 }
 
@@ -32,37 +32,37 @@
 }
 
 impl KvStore {
-    /// Keeps a result; forgets expired ones.
+    /// Stores a result; drops those that expired long ago.
     pub fn put(&self, source: SocketAddr, handle: u64, result: KvResult) {
         let Ok(mut results) = self.results.lock() else {
             return;
         };
-        results.retain(|_, old| old.ready_at.elapsed() < RESULT_LIFE * 4);
+        results.retain(|_, old| old.ready_at.elapsed() < RESULT_TTL * 4);
         results.insert((source, handle), result);
     }
 
-    /// Lets the engine at `source` be reached at `link` too.
+    /// Registers `link` as a second address of the engine at `source`.
     pub fn add_link(&self, link: SocketAddr, source: SocketAddr) {
         if let Ok(mut links) = self.links.lock() {
             links.insert(link, source);
         }
     }
 
-    /// A result, alive or not.
+    /// Returns a result that has not been dropped, even if it has expired.
     pub fn get(&self, source: SocketAddr, handle: u64) -> Option<KvResult> {
         let source = self.engine_at(source);
         self.results.lock().ok()?.get(&(source, handle)).cloned()
     }
 
-    /// Drops a result that was transferred.
-    pub fn take(&self, source: SocketAddr, handle: u64) {
+    /// Removes a result that was transferred.
+    pub fn remove(&self, source: SocketAddr, handle: u64) {
         let source = self.engine_at(source);
         if let Ok(mut results) = self.results.lock() {
             results.remove(&(source, handle));
         }
     }
 
-    /// The engine that is reached at an address.
+    /// Address of the engine that is reached at `address`.
     fn engine_at(&self, address: SocketAddr) -> SocketAddr {
         let engine = self.links.lock().ok().and_then(|links| links.get(&address).copied());
         engine.unwrap_or(address)
--- a/src/bench/load_mix.rs
+++ b/src/bench/load_mix.rs
@@ -3,107 +3,108 @@
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// Part of the calls that go to the plain service and must run at most once.
-const ONCE_PART: f64 = 0.06;
-/// Part of these that are sent twice, at two hosts.
-const TWICE_PART: f64 = 0.5;
-/// Part of the completions whose caller leaves early.
-const LEAVE_PART: f64 = 0.02;
-/// Series whose history long prompts of a reader platform begin with.
-const SERIES: u32 = 40;
+/// Share of the calls that go to the plain service and must run at most once.
+const ONCE_SHARE: f64 = 0.06;
+/// Share of these calls that are sent twice, to two hosts.
+const DUPLICATE_SHARE: f64 = 0.5;
+/// Share of the completions whose caller disconnects early.
+const DISCONNECT_SHARE: f64 = 0.02;
+/// Number of series; a long prompt of a reader platform begins with the history of one of them.
+const SERIES_COUNT: u32 = 40;
+/// Tokens of a series' history, which prompts share.
 const SERIES_TOKENS: u32 = 256;
 
-/// What one call is.
+/// Content of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum MixedKind {
+pub enum CallKind {
     /// A completion.
     Completion {
         /// The prompt.
         prompt: String,
-        /// Its tokens.
+        /// Number of its tokens.
         tokens: u32,
-        /// Whether it counts as long: over half a second's prefill.
+        /// Whether it counts as long, which means more than half a second of prefill.
         long: bool,
-        /// Tokens after which the caller leaves, if it does.
-        leave_after: Option<usize>,
+        /// Number of tokens after which the caller disconnects, if it does.
+        disconnect_after: Option<usize>,
     },
     /// A call that must run at most once.
     Once {
-        /// Its body, unique in the run.
+        /// The body, unique in the run.
         body: String,
-        /// Whether it is sent twice.
-        twice: bool,
+        /// Whether it is sent twice, to two hosts.
+        is_duplicated: bool,
     },
 }
 
-/// One call of a mix.
+/// One call of a load mix.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct MixedCall {
-    /// When it is sent, from the start of the run.
+pub struct LoadCall {
+    /// Time from the start of the run at which it is sent.
     pub at: Duration,
-    /// Who sends it.
+    /// Organisation that sends it.
     pub organisation: &'static str,
-    /// What it is.
-    pub kind: MixedKind,
+    /// What is sent.
+    pub kind: CallKind,
 }
 
-/// The calls of a run, the same for every policy with the same seed.
+/// Generates the calls of a run; the same seed gives the same calls for every policy.
 #[derive(Debug)]
 pub struct LoadMix {
     rng: StdRng,
     deployment: Deployment,
     rate: f64,
-    clock: f64,
+    next_at: f64,
     serial: u64,
 }
 
 impl LoadMix {
-    /// A mix of `rate` completions a second.
+    /// Creates a mix of `rate` completions per second.
     pub fn new(deployment: &Deployment, rate: f64, seed: u64) -> Self {
         Self {
             rng: StdRng::seed_from_u64(seed),
             deployment: deployment.clone(),
             rate,
-            clock: 0.0,
+            next_at: 0.0,
             serial: 0,
         }
     }
 
-    /// The next call.
-    pub fn next_call(&mut self) -> MixedCall {
-        let total = self.rate / (1.0 - ONCE_PART);
-        self.clock += -(1.0 - self.rng.random::<f64>()).ln() / total;
+    /// Generates the next call.
+    pub fn next_call(&mut self) -> LoadCall {
+        let total = self.rate / (1.0 - ONCE_SHARE);
+        self.next_at += -(1.0 - self.rng.random::<f64>()).ln() / total;
         self.serial += 1;
         let organisations = self.deployment.organisations;
         let organisation = organisations[self.rng.random_range(0..organisations.len())];
-        let kind = if self.rng.random::<f64>() < ONCE_PART {
-            let twice = self.rng.random::<f64>() < TWICE_PART;
-            MixedKind::Once { body: format!("{{\"job\":{}}}", self.serial), twice }
+        let kind = if self.rng.random::<f64>() < ONCE_SHARE {
+            let is_duplicated = self.rng.random::<f64>() < DUPLICATE_SHARE;
+            CallKind::Once { body: format!("{{\"job\":{}}}", self.serial), is_duplicated }
         } else {
             self.completion()
         };
-        MixedCall { at: Duration::from_secs_f64(self.clock), organisation, kind }
+        LoadCall { at: Duration::from_secs_f64(self.next_at), organisation, kind }
     }
 
-    fn completion(&mut self) -> MixedKind {
-        let is_long = self.rng.random::<f64>() < self.deployment.long_part;
+    fn completion(&mut self) -> CallKind {
+        let is_long = self.rng.random::<f64>() < self.deployment.long_share;
         let (low, high) =
             if is_long { self.deployment.long_tokens } else { self.deployment.short_tokens };
         let tokens = self.rng.random_range(low..=high);
-        let shared = if is_long { SERIES_TOKENS } else { 0 };
-        let series = self.rng.random_range(0..SERIES);
+        let shared_tokens = if is_long { SERIES_TOKENS } else { 0 };
+        let series = self.rng.random_range(0..SERIES_COUNT);
         let mut prompt = String::new();
-        for place in 0..tokens {
-            if place < shared {
-                prompt.push_str(&format!("s{series}w{place} "));
+        for index in 0..tokens {
+            if index < shared_tokens {
+                prompt.push_str(&format!("s{series}w{index} "));
             } else {
-                prompt.push_str(&format!("q{}w{place} ", self.serial));
+                prompt.push_str(&format!("q{}w{index} ", self.serial));
             }
         }
-        let leaves = self.rng.random::<f64>() < LEAVE_PART;
-        let leave_after = leaves.then(|| self.rng.random_range(0..10));
+        let disconnects = self.rng.random::<f64>() < DISCONNECT_SHARE;
+        let disconnect_after = disconnects.then(|| self.rng.random_range(0..10));
         let rate = super::EngineTiming::STANDARD.prefill_tokens_per_second;
         let long = f64::from(tokens) / rate > 0.5;
-        MixedKind::Completion { prompt, tokens, long, leave_after }
+        CallKind::Completion { prompt, tokens, long, disconnect_after }
     }
 }
--- a/src/bench/load_run.rs
+++ b/src/bench/load_run.rs
@@ -2,8 +2,8 @@
 use super::load_summary::RunFacts;
 use super::load_tally::percentile;
 use super::{
-    BenchCaller, CallRecord, CallResult, Deployment, FaultKind, Fleet, FleetOptions, LoadMix,
-    LoadSummary, LoadTally, MixedCall, MixedKind,
+    BenchCaller, CallKind, CallRecord, CallResult, Deployment, FaultKind, Fleet, FleetOptions,
+    LoadCall, LoadMix, LoadSummary, LoadTally,
 };
 use crate::Result;
 use crate::placement::PlacementPolicy;
@@ -12,16 +12,16 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Mean tokens of an answer; see [`super::answer_length`].
-const MEAN_ANSWER: f64 = 80.0;
-/// Calls of the first seconds fill the pools and are not counted.
+/// Mean length of an answer in tokens; see [`super::answer_length`].
+const MEAN_ANSWER_TOKENS: f64 = 80.0;
+/// Calls of the first seconds fill the pools and are not counted in the results.
 const WARM_UP: Duration = Duration::from_secs(5);
-const PATIENCE: Duration = Duration::from_secs(20);
-const SETTLE_LIMIT: Duration = Duration::from_secs(12);
-const FAULT_LENGTH: Duration = Duration::from_secs(6);
-const BALANCER_TRIES: usize = 3;
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(12);
+const FAULT_DURATION: Duration = Duration::from_secs(6);
+const MAX_CONNECT_ATTEMPTS: usize = 3;
 
-/// A fault in the middle of a run.
+/// A fault that is injected in the middle of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BenchFault {
     /// No fault.
@@ -60,29 +60,29 @@
     }
 }
 
-/// What to run.
+/// Options of a load run.
 #[derive(Debug, Clone)]
 pub struct LoadOptions {
     /// The deployment.
     pub deployment: Deployment,
-    /// How the daemons place.
+    /// Placement policy of the daemons.
     pub policy: PlacementPolicy,
-    /// Load as a part of the pools' capacity.
+    /// Load as a fraction of the pools' capacity.
     pub load: f64,
-    /// Seed of the mix.
+    /// Seed of the load mix.
     pub seed: u64,
-    /// The fault, which begins in the middle.
+    /// The fault, which starts in the middle of the run.
     pub fault: BenchFault,
-    /// How long calls are sent.
+    /// Time for which calls are sent, after the warm-up.
     pub length: Duration,
-    /// Folder of the programs.
+    /// Folder that holds the built programs.
     pub programs: PathBuf,
 }
 
-/// Starts a fleet, drives it with the mix, and sums the run up.
+/// Starts a fleet, sends it the calls of a load mix, and returns a summary of the run.
 ///
 /// # Errors
-/// If the fleet cannot be started.
+/// If the fleet cannot be started, a fault cannot be switched or the stand-ins' counters cannot be read.
 pub fn run_load(options: &LoadOptions) -> Result<LoadSummary> {
     let mut fleet = Fleet::start_configured(FleetOptions {
         deployment: options.deployment.clone(),
@@ -90,20 +90,20 @@
         programs: options.programs.clone(),
         log_level: "info".to_owned(),
     })?;
-    let capacity = options.deployment.capacity(MEAN_ANSWER);
+    let capacity = options.deployment.capacity(MEAN_ANSWER_TOKENS);
     let mut mix = LoadMix::new(&options.deployment, capacity * options.load, options.seed);
-    let calls: Vec<MixedCall> = std::iter::repeat_with(|| mix.next_call())
+    let calls: Vec<LoadCall> = std::iter::repeat_with(|| mix.next_call())
         .take_while(|call| call.at < options.length + WARM_UP)
         .collect();
     let hosts: Vec<SocketAddr> = fleet.hosts.iter().map(|host| host.callers).collect();
     let tally = Arc::new(Mutex::new(LoadTally::default()));
     let runtime =
         tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
-    let sending = send_all(options.deployment.clone(), hosts, calls, Arc::clone(&tally));
-    let sender = runtime.spawn(sending);
-    let fault_at = work_fault(&mut fleet, options)?;
+    let sends = send_calls(options.deployment.clone(), hosts, calls, Arc::clone(&tally));
+    let send_task = runtime.spawn(sends);
+    let fault_at = inject_fault(&mut fleet, options)?;
     runtime.block_on(async {
-        let _ = sender.await;
+        let _ = send_task.await;
     });
     settle(&fleet);
     let stats = fleet.stats()?;
@@ -116,20 +116,20 @@
         capacity,
         warm_up: WARM_UP,
         length: options.length,
-        killed: options.fault == BenchFault::HostKilled,
-        invariant_violations: violations(&fleet),
+        host_killed: options.fault == BenchFault::HostKilled,
+        invariant_violations: invariant_violations(&fleet),
     };
     let tally = tally.lock().unwrap_or_else(PoisonError::into_inner);
     Ok(LoadSummary::new(&options.deployment, &facts, &tally, &stats))
 }
 
-fn work_fault(fleet: &mut Fleet, options: &LoadOptions) -> Result<Option<Duration>> {
+fn inject_fault(fleet: &mut Fleet, options: &LoadOptions) -> Result<Option<Duration>> {
     if options.fault == BenchFault::None {
         return Ok(None);
     }
-    let began = Instant::now();
+    let started_at = Instant::now();
     std::thread::sleep(WARM_UP + options.length / 2);
-    let fault_at = began.elapsed();
+    let fault_at = started_at.elapsed();
     let (_, domain) = &options.deployment.hosts()[0];
     let engine = format!("{domain}-decode-1");
     let (target, kind) = match options.fault {
@@ -142,15 +142,15 @@
         BenchFault::StoreOut | BenchFault::None => ("platform", FaultKind::Outage),
     };
     fleet.fault(target, kind, true)?;
-    std::thread::sleep(FAULT_LENGTH);
+    std::thread::sleep(FAULT_DURATION);
     fleet.fault(target, kind, false)?;
     Ok(Some(fault_at))
 }
 
-/// Waits until the engines hold nothing, or long enough to call it a leak.
+/// Waits until the engines hold no attempts. Attempts held after `SETTLE_TIMEOUT` are counted as leaks.
 fn settle(fleet: &Fleet) {
-    let began = Instant::now();
-    while began.elapsed() < SETTLE_LIMIT {
+    let started_at = Instant::now();
+    while started_at.elapsed() < SETTLE_TIMEOUT {
         if fleet.stats().is_ok_and(|stats| stats.held.values().all(|held| *held == 0)) {
             return;
         }
@@ -158,77 +158,79 @@
     }
 }
 
-fn violations(fleet: &Fleet) -> u64 {
+fn invariant_violations(fleet: &Fleet) -> u64 {
     let statuses = fleet.running().into_iter().filter_map(|host| fleet.status(host).ok());
     statuses.map(|status| status.invariant_violations).sum()
 }
 
-async fn send_all(
+async fn send_calls(
     deployment: Deployment,
     hosts: Vec<SocketAddr>,
-    calls: Vec<MixedCall>,
+    calls: Vec<LoadCall>,
     tally: Arc<Mutex<LoadTally>>,
 ) {
     let caller = BenchCaller::new(&deployment);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut running = tokio::task::JoinSet::new();
-    for (turn, call) in calls.into_iter().enumerate() {
-        tokio::time::sleep_until((began + call.at).into()).await;
-        // The platform's balancer: hosts in turn, another one if a connection is refused.
-        let order: Vec<SocketAddr> =
-            (0..hosts.len()).map(|step| hosts[(turn + step) % hosts.len()]).collect();
+    for (index, call) in calls.into_iter().enumerate() {
+        tokio::time::sleep_until((started_at + call.at).into()).await;
+        // Behaves like the platform's load balancer: round robin over the hosts, and the next host if a
+        // connection is refused.
+        let host_order: Vec<SocketAddr> =
+            (0..hosts.len()).map(|offset| hosts[(index + offset) % hosts.len()]).collect();
         let (caller, tally) = (caller.clone(), Arc::clone(&tally));
-        running.spawn(async move { send_one(caller, order, call, tally).await });
+        running.spawn(async move { send_call(caller, host_order, call, tally).await });
     }
     while running.join_next().await.is_some() {}
 }
 
-async fn send_one(
+async fn send_call(
     caller: BenchCaller,
     hosts: Vec<SocketAddr>,
-    call: MixedCall,
+    call: LoadCall,
     tally: Arc<Mutex<LoadTally>>,
 ) {
     match call.kind {
-        MixedKind::Completion { prompt, tokens, long, leave_after } => {
-            let mut seen = None;
-            for host in hosts.iter().take(BALANCER_TRIES) {
-                let got =
-                    caller.complete(*host, call.organisation, &prompt, PATIENCE, leave_after).await;
+        CallKind::Completion { prompt, tokens, long, disconnect_after } => {
+            let mut completion = None;
+            for host in hosts.iter().take(MAX_CONNECT_ATTEMPTS) {
+                let got = caller
+                    .complete(*host, call.organisation, &prompt, CALL_TIMEOUT, disconnect_after)
+                    .await;
                 let refused = got.status == 0 && matches!(got.result, CallResult::Broken(_));
-                let again = refused && got.tokens.is_empty() && is_refused(&got.result);
-                seen = Some(got);
-                if !again {
+                let should_retry = refused && got.tokens.is_empty() && is_refused(&got.result);
+                completion = Some(got);
+                if !should_retry {
                     break;
                 }
             }
-            let Some(mut seen) = seen else { return };
+            let Some(mut completion) = completion else { return };
             let expected = answer_tokens(prompt_hash(&prompt), 160);
-            let right = if seen.result == CallResult::Complete {
-                seen.tokens == expected
+            let is_correct = if completion.result == CallResult::Complete {
+                completion.tokens == expected
             } else {
-                expected.starts_with(&seen.tokens)
+                expected.starts_with(&completion.tokens)
             };
-            let gap_p95 =
-                (!seen.token_gaps.is_empty()).then(|| percentile(&mut seen.token_gaps, 0.95));
+            let gap_p95 = (!completion.token_gaps.is_empty())
+                .then(|| percentile(&mut completion.token_gaps, 0.95));
             let mut tally = tally.lock().unwrap_or_else(PoisonError::into_inner);
-            tally.broken += u64::from(matches!(seen.result, CallResult::Broken(_)));
+            tally.broken += u64::from(matches!(completion.result, CallResult::Broken(_)));
             tally.calls.push(CallRecord {
                 at: call.at,
                 organisation: call.organisation,
                 long,
                 tokens,
-                leaves: leave_after.is_some(),
-                result: seen.result,
-                right,
-                request: seen.request,
-                first_token: seen.first_token,
+                disconnects: disconnect_after.is_some(),
+                result: completion.result,
+                is_correct,
+                request_id: completion.request_id,
+                first_token: completion.first_token,
                 gap_p95,
-                reason: seen.reason,
+                reason: completion.reason,
             });
         }
-        MixedKind::Once { body, twice } => {
-            send_once(caller, &hosts, call.organisation, body, twice, tally).await;
+        CallKind::Once { body, is_duplicated } => {
+            send_once_call(caller, &hosts, call.organisation, body, is_duplicated, tally).await;
         }
     }
 }
@@ -237,18 +239,18 @@
     matches!(result, CallResult::Broken(text) if text.contains("refused"))
 }
 
-async fn send_once(
+async fn send_once_call(
     caller: BenchCaller,
     hosts: &[SocketAddr],
     organisation: &'static str,
     body: String,
-    twice: bool,
+    is_duplicated: bool,
     tally: Arc<Mutex<LoadTally>>,
 ) {
     let header = ("idempotency-key", body.as_str());
-    let first = caller.call_once(hosts[0], organisation, header, &body, PATIENCE);
-    let results = if twice {
-        let second = caller.call_once(hosts[1], organisation, header, &body, PATIENCE);
+    let first = caller.call_once(hosts[0], organisation, header, &body, CALL_TIMEOUT);
+    let results = if is_duplicated {
+        let second = caller.call_once(hosts[1], organisation, header, &body, CALL_TIMEOUT);
         let (first, second) = tokio::join!(first, second);
         vec![first.0, second.0]
     } else {
@@ -261,7 +263,7 @@
     tally.once_settled += u64::from(broken < results.len());
     tally.broken += broken as u64;
     tally.once_answers.push((body.clone(), answers as u32));
-    // A crossed pair of repeats: "not run" speaks for the request only if nobody got an answer.
+    // One "not run" is enough, even if the duplicate of the call got an answer.
     if results.contains(&CallResult::NotRun) {
         tally.once_not_run.push(body);
     }
--- a/src/bench/mod.rs
+++ b/src/bench/mod.rs
@@ -1,7 +1,7 @@
-//! Bench holds stand-ins for the systems that tealcleat serves, and the load tool's parts.
+//! Stand-ins for the systems that tealcleat serves, and the parts of the load generator.
 //!
-//! The stand-ins' cost model comes from the brief's words and is the same for every policy; it is
-//! written down in docs/MEASUREMENTS.md.
+//! The stand-ins simulate costs with one model, which follows from the brief and is the same for
+//! every placement policy; docs/MEASUREMENTS.md describes it.
 
 mod answer_oracle;
 mod bench_caller;
@@ -47,7 +47,7 @@
 pub use free_ports::{PortBlock, free_ports};
 pub use gateway_process::{GatewayProcess, ProcessPlan};
 pub use host_process::HostProcess;
-pub use load_mix::{LoadMix, MixedCall, MixedKind};
+pub use load_mix::{CallKind, LoadCall, LoadMix};
 pub use load_run::{BenchFault, LoadOptions, run_load};
 pub use load_summary::LoadSummary;
 pub use load_tally::{CallRecord, LoadTally};
--- a/src/bench/prefill_engine.rs
+++ b/src/bench/prefill_engine.rs
@@ -9,12 +9,14 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-const SLICE: Duration = Duration::from_millis(5);
+/// Step in which a prefill progresses and checks for faults and cancels.
+const PROGRESS_SLICE: Duration = Duration::from_millis(5);
 
-/// Runs one prefill in its turn; goes on when the caller's connection breaks, until cancelled.
+/// Runs one prefill after those that arrived earlier. It continues when the caller's connection
+/// breaks, and stops when it is cancelled.
 ///
 /// # Errors
-/// If it was cancelled.
+/// If it is cancelled.
 pub(super) async fn prefill(
     engine: Arc<EngineCore>,
     call: PrefillCall,
@@ -22,49 +24,50 @@
     let held = engine.hold(&call.attempt);
     let words: Vec<&str> = call.prompt.split_whitespace().collect();
     let tokens = words.len() as u32 + call.generated.len() as u32;
-    let estimate = work(&engine, tokens).as_micros() as i64;
+    let estimate = prefill_time(&engine, tokens).as_micros() as i64;
     engine.change_backlog(estimate);
-    let result = in_turn(&engine, &call, &held, &words, tokens).await;
+    let result = run_prefill(&engine, &call, &held, &words, tokens).await;
     engine.change_backlog(-estimate);
-    engine.let_go(&call.attempt);
+    engine.release(&call.attempt);
     result
 }
 
-fn work(engine: &EngineCore, tokens: u32) -> Duration {
+fn prefill_time(engine: &EngineCore, tokens: u32) -> Duration {
     Duration::from_secs_f64(f64::from(tokens) / engine.timing.prefill_tokens_per_second)
 }
 
-async fn in_turn(
+async fn run_prefill(
     engine: &EngineCore,
     call: &PrefillCall,
     held: &HeldAttempt,
     words: &[&str],
     tokens: u32,
 ) -> Result<PrefillReply, String> {
-    let _turn = engine.lane.lock().await;
+    let _lane = engine.prefill_lane.lock().await;
     if held.cancelled.load(Ordering::Relaxed) {
         return Err("cancelled before it began".to_owned());
     }
     let blocks = prefix_blocks(words.iter().map(|word| stable_hash(word.as_bytes())));
-    let computed = engine.use_cache(&blocks, tokens);
-    let whole = work(engine, computed);
+    let computed_tokens = engine.cache_prompt(&blocks, tokens);
+    let total_time = prefill_time(engine, computed_tokens);
     let began = Instant::now();
     let mut spent = Duration::ZERO;
-    while spent < whole {
-        let slice = SLICE.min(whole - spent);
-        engine.faults.thawed().await;
-        // Sleeps overshoot: progress is what has really passed, but no more than a few slices.
+    while spent < total_time {
+        let slice = PROGRESS_SLICE.min(total_time - spent);
+        engine.faults.wait_while_frozen().await;
+        // A sleep can take longer than requested: the time that really passed counts as progress, but no
+        // more than a few slices.
         let before = Instant::now();
         tokio::time::sleep(slice).await;
-        spent += before.elapsed().min(SLICE * 4);
+        spent += before.elapsed().min(PROGRESS_SLICE * 4);
         if held.cancelled.load(Ordering::Relaxed) {
-            engine.log_prefill(&call.request, spent.min(whole).as_micros() as u64);
+            engine.record_prefill(&call.request, spent.min(total_time).as_micros() as u64);
             return Err("cancelled while it ran".to_owned());
         }
     }
-    let took_micros = whole.as_micros() as u64;
-    engine.log_prefill(&call.request, took_micros);
-    let handle = engine.new_handle();
+    let took_micros = total_time.as_micros() as u64;
+    engine.record_prefill(&call.request, took_micros);
+    let handle = engine.next_handle();
     let bytes = u64::from(tokens) * engine.timing.kv_bytes_per_token;
     let prompt = prompt_hash(&call.prompt);
     engine.results.put(
@@ -75,8 +78,8 @@
     log::debug!("event=prefilled took_ms={}", began.elapsed().as_millis());
     Ok(PrefillReply {
         handle,
-        computed_tokens: computed,
-        cached_tokens: tokens - computed,
+        computed_tokens,
+        cached_tokens: tokens - computed_tokens,
         kv_bytes: bytes,
         took_micros,
     })
--- a/src/bench/report_plot.rs
+++ b/src/bench/report_plot.rs
@@ -6,7 +6,7 @@
 const SIZE: (u32, u32) = (960, 420);
 const BAR_WIDTH: f64 = 0.25;
 
-/// One of a summary's shares.
+/// Reads one share from a summary.
 type ShareOf = fn(&LoadSummary) -> f64;
 
 /// Draws the three goodput shares of each policy as bars into an SVG file.
@@ -32,9 +32,9 @@
         .y_label_area_size(50)
         .build_cartesian_2d(0.0..count, 0.0..1.0)?;
     let name_at = |x: &f64| {
-        let place = x.floor();
-        let centred = (x - place - 0.5).abs() < 0.01;
-        let row = rows.get(place as usize).filter(|_| centred);
+        let index = x.floor();
+        let centred = (x - index - 0.5).abs() < 0.01;
+        let row = rows.get(index as usize).filter(|_| centred);
         row.map_or(String::new(), |row| row.policy.clone())
     };
     chart
@@ -49,9 +49,9 @@
         ("long", RED, |row| row.goodput_long_share),
         ("by work", GREEN, |row| row.goodput_by_work),
     ];
-    for (turn, (name, colour, value)) in series.into_iter().enumerate() {
-        let bars = rows.iter().enumerate().map(|(place, row)| {
-            let left = place as f64 + 0.12 + turn as f64 * BAR_WIDTH;
+    for (series_index, (name, colour, value)) in series.into_iter().enumerate() {
+        let bars = rows.iter().enumerate().map(|(index, row)| {
+            let left = index as f64 + 0.12 + series_index as f64 * BAR_WIDTH;
             Rectangle::new([(left, 0.0), (left + BAR_WIDTH, value(row))], colour.mix(0.7).filled())
         });
         chart.draw_series(bars)?.label(name).legend(move |(x, y)| {
--- a/src/bench/service_server.rs
+++ b/src/bench/service_server.rs
@@ -11,24 +11,25 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-const WORK: Duration = Duration::from_millis(20);
+/// Time that a run of a request takes.
+const SERVICE_TIME: Duration = Duration::from_millis(20);
 
-/// One plain service: it runs whatever it is sent, and counts the runs of each body.
+/// State of one plain service, which runs every request and counts the runs of each body.
 #[derive(Debug, Default)]
 pub struct ServiceCore {
-    /// Its faults.
+    /// Faults that are switched on.
     pub faults: FaultSwitch,
     runs: Mutex<HashMap<String, u64>>,
     received: Mutex<HashMap<String, u64>>,
 }
 
 impl ServiceCore {
-    /// Arrivals of each POST body so far, also of those that a fault keeps from running.
+    /// Number of arrivals of each POST body so far, including those that a fault keeps from running.
     pub fn received(&self) -> HashMap<String, u64> {
         self.received.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Runs of each POST body so far.
+    /// Number of runs of each POST body so far.
     pub fn runs(&self) -> HashMap<String, u64> {
         self.runs.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -63,7 +64,7 @@
         let mut received = service.received.lock().unwrap_or_else(PoisonError::into_inner);
         *received.entry(text.clone()).or_default() += 1;
     }
-    service.faults.thawed().await;
+    service.faults.wait_while_frozen().await;
     let run = if posted {
         let mut runs = service.runs.lock().unwrap_or_else(PoisonError::into_inner);
         let count = runs.entry(text).or_default();
@@ -72,7 +73,7 @@
     } else {
         0
     };
-    tokio::time::sleep(WORK).await;
+    tokio::time::sleep(SERVICE_TIME).await;
     if posted && service.faults.loses_answers() {
         return Err(broken());
     }
--- a/src/bench/standin_plan.rs
+++ b/src/bench/standin_plan.rs
@@ -1,33 +1,33 @@
 use crate::intents::ServerRole;
 use serde::{Deserialize, Serialize};
 
-/// One model engine to stand in for.
+/// Plan of one simulated model engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EnginePlan {
-    /// Its name.
+    /// Name of the engine.
     pub name: String,
-    /// Its failure domain.
+    /// Failure domain of the engine.
     pub domain: String,
-    /// Its role at first.
+    /// Initial role.
     pub role: ServerRole,
-    /// Models it holds at first, as `name@version`.
+    /// Models that are loaded initially, as `name@version`.
     pub models: Vec<String>,
-    /// Requests that it decodes at once.
+    /// Number of requests that it decodes concurrently.
     pub slots: u32,
-    /// Whether it checks fences.
+    /// Whether it rejects orders with an outdated fence.
     pub checks_fence: bool,
 }
 
-/// One plain service to stand in for.
+/// Plan of one simulated plain service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServicePlan {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Number of its servers.
+    /// Number of servers.
     pub servers: u32,
 }
 
-/// What one process of stand-ins is to stand in for.
+/// Plan of one process of stand-ins.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct StandinPlan {
     /// Engines.
--- a/src/bench/standin_set.rs
+++ b/src/bench/standin_set.rs
@@ -17,10 +17,10 @@
 use std::sync::atomic::Ordering;
 use tokio::net::TcpListener;
 
-/// Where the stand-ins of a process listen.
+/// Addresses of the stand-ins of a process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StandinAddresses {
-    /// The fault switches and counters.
+    /// The HTTP interface for faults and counters.
     pub control: SocketAddr,
     /// The platform.
     pub platform: SocketAddr,
@@ -31,10 +31,10 @@
 }
 
 impl StandinAddresses {
-    /// Reads what a process of stand-ins says first on its standard output.
+    /// Reads the addresses from the first line that a process of stand-ins prints.
     ///
     /// # Errors
-    /// If it says nothing of the kind.
+    /// If there is no such line or it cannot be parsed.
     pub(super) fn read_from(standins: &mut Child) -> Result<Self> {
         let output = standins.stdout.take().ok_or(Error::Timeout)?;
         let mut line = String::new();
@@ -43,26 +43,27 @@
     }
 }
 
-/// What really happened at the stand-ins.
+/// What the stand-ins themselves counted.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct StandinStats {
-    /// Prefill work in microseconds, by caller's request, one entry a prefill.
+    /// Prefill work in microseconds by caller's request, with one entry per prefill.
     pub prefills: Vec<(String, u64)>,
-    /// Attempts that engines hold at this moment, by engine.
+    /// Number of attempts held now, by engine.
     pub held: HashMap<String, usize>,
-    /// Time for which decode slots were taken, in microseconds.
+    /// Total time for which decode slots were in use, in microseconds.
     pub slot_micros: u64,
-    /// Runs of each POST body at the services.
+    /// Number of runs of each POST body at the services.
     pub runs: HashMap<String, u64>,
-    /// Arrivals of each POST body at the services, also of those that a fault keeps from running.
+    /// Number of arrivals of each POST body at the services, including those that a fault keeps from
+    /// running.
     pub received: HashMap<String, u64>,
-    /// Reads and watches at the platform.
+    /// Number of reads and watches at the platform.
     pub platform_reads: u64,
-    /// Writes at the platform.
+    /// Number of writes at the platform.
     pub platform_writes: u64,
 }
 
-/// Running stand-ins.
+/// The running stand-ins of a process.
 #[derive(Debug)]
 pub struct StandinSet {
     engines: HashMap<String, Arc<EngineCore>>,
@@ -72,7 +73,7 @@
 }
 
 impl StandinSet {
-    /// Switches a fault; false if there is no such target.
+    /// Switches a fault; returns false if the target does not exist.
     pub fn switch_fault(&self, command: &FaultCommand) -> bool {
         if command.target == "platform" {
             self.platform.set_fault(store_fault(command));
@@ -96,20 +97,20 @@
         true
     }
 
-    /// Whether an engine was ordered to refuse new work.
+    /// Whether an order told the engine to refuse new work.
     pub fn is_draining(&self, engine: &str) -> bool {
         self.engines.get(engine).is_some_and(|engine| engine.is_draining())
     }
 
-    /// Whether an engine has the prefill role.
+    /// Whether the engine has the prefill role.
     pub fn is_prefill(&self, engine: &str) -> bool {
         self.engines.get(engine).is_some_and(|engine| engine.role() == ServerRole::Prefill)
     }
 
-    /// A link to an engine, which is then reached at the link's address as well.
+    /// Starts a link to an engine, which can then also be reached at the link's address.
     ///
     /// # Errors
-    /// If there is no such engine, or no port can be bound.
+    /// If the engine does not exist, or no port can be bound.
     pub async fn link(&self, engine: &str) -> Result<DuplicateLink> {
         let engine = self.engines.get(engine);
         let engine = engine.ok_or_else(|| Error::Refused("there is no such engine".to_owned()))?;
@@ -118,7 +119,7 @@
         Ok(link)
     }
 
-    /// What really happened so far.
+    /// Collects the counters of all stand-ins.
     pub fn stats(&self) -> StandinStats {
         let (calls, platform_writes) = self.platform.call_counts();
         let platform_reads = calls - platform_writes;
@@ -140,7 +141,7 @@
     }
 }
 
-/// The store does one thing wrong at a time; switching a fault off mends it.
+/// The store has at most one fault at a time; switching any fault off clears it.
 fn store_fault(command: &FaultCommand) -> StoreFault {
     match command.fault {
         FaultKind::Freeze if command.on => StoreFault::Silent,
--- a/src/bench/weight_store.rs
+++ b/src/bench/weight_store.rs
@@ -2,19 +2,19 @@
 use super::fault_switch::FaultSwitch;
 use tokio::sync::Mutex;
 
-/// The rate-limited weight store: one pull at a time, for all engines of the process.
+/// Simulates a rate-limited weight store, which serves one pull at a time for all engines of the process.
 #[derive(Debug, Default)]
 pub struct WeightStore {
-    /// Its faults; frozen, it serves no pull.
+    /// Faults that are switched on; while frozen, the store serves no pull.
     pub faults: FaultSwitch,
-    turn: Mutex<()>,
+    pull_lock: Mutex<()>,
 }
 
 impl WeightStore {
-    /// Pulls the weights of one model.
+    /// Waits for and performs the pull of one model's weights.
     pub async fn pull(&self, timing: &EngineTiming) {
-        let _turn = self.turn.lock().await;
-        self.faults.thawed().await;
+        let _pull = self.pull_lock.lock().await;
+        self.faults.wait_while_frozen().await;
         tokio::time::sleep(timing.weight_pull).await;
     }
 }
--- a/tests/free_ports.rs
+++ b/tests/free_ports.rs
@@ -1,4 +1,4 @@
-//! Ports for programs under test: no two processes may hand out the same one.
+//! Free ports for programs under test: no two processes may hand out the same port.
 
 use std::net::{Ipv4Addr, TcpListener, UdpSocket};
 use std::process::Command;
@@ -9,18 +9,18 @@
 const STARTERS: usize = 4;
 
 #[test]
-fn claim_of_a_locked_block_goes_on_to_another() {
-    let mut held = PortBlock::claim(7).expect("a block");
-    let mut other = PortBlock::claim(7).expect("another block");
-    let ports: Vec<u16> = std::iter::from_fn(|| held.take()).collect();
+fn claim_locked_block() {
+    let mut block = PortBlock::claim(7).expect("a block");
+    let mut other_block = PortBlock::claim(7).expect("another block");
+    let ports: Vec<u16> = std::iter::from_fn(|| block.take()).collect();
     assert!(!ports.is_empty());
-    assert!(std::iter::from_fn(|| other.take()).all(|port| !ports.contains(&port)));
+    assert!(std::iter::from_fn(|| other_block.take()).all(|port| !ports.contains(&port)));
 }
 
-/// Pattern: a daemon of a fleet found its port in use as it started. A program that another test starts has, until its
-/// own code runs, all sockets of this process: also the one that had looked whether the port is free.
+/// Guards against a daemon that finds its port in use when it starts. A program that another test starts inherits all
+/// sockets of this process until its own code runs, including one that was bound to check whether the port is free.
 #[test]
-fn port_is_free_while_other_programs_start() {
+fn take_while_other_programs_start() {
     let ended = AtomicBool::new(false);
     std::thread::scope(|scope| {
         for _ in 0..STARTERS {
