--- a/src/bench/worlds/claim_parts.rs
+++ b/src/bench/worlds/claim_parts.rs
@@ -12,7 +12,7 @@
     pub bucket: ClaimBucket,
     pub outcomes: OutcomeTable,
     pub paused_until: TimePoint,
-    pub calls_open: bool,
+    pub has_pending_call: bool,
     /// Attempts that wait for a verdict, with their key.
     pub waiting: BTreeMap<AttemptId, ClaimKey>,
     /// Attempts that were granted and run now, with when they end.
@@ -28,7 +28,7 @@
             bucket: ClaimBucket::default(),
             outcomes: OutcomeTable::default(),
             paused_until: TimePoint::default(),
-            calls_open: false,
+            has_pending_call: false,
             waiting: BTreeMap::new(),
             running: Vec::new(),
         }
@@ -40,12 +40,12 @@
 pub(super) struct StoreCall {
     pub host: usize,
     pub incarnation: IncarnationId,
-    pub order: BucketCall,
-    pub arrives: TimePoint,
+    pub operation: BucketCall,
+    pub arrives_at: TimePoint,
     pub answers: TimePoint,
-    pub arrived: bool,
+    pub has_arrived: bool,
     pub answer: Option<StoreAnswer>,
-    pub lost: bool,
+    pub is_lost: bool,
 }
 
 /// What the store did.
--- a/src/bench/worlds/claim_world.rs
+++ b/src/bench/worlds/claim_world.rs
@@ -13,7 +13,7 @@
 const HOSTS: usize = 4;
 const KEYS: u64 = 40;
 const STEP: Duration = Duration::from_millis(10);
-const BODY: u64 = 7;
+const BODY_HASH: u64 = 7;
 
 /// Presents keys at several hosts while the store loses answers, hosts die and pause.
 #[derive(Debug)]
@@ -24,7 +24,7 @@
     calls: Vec<StoreCall>,
     version: u64,
     value: BucketValue,
-    out_until: TimePoint,
+    outage_until: TimePoint,
     next_incarnation: u64,
     runs: BTreeMap<ClaimKey, u32>,
     answers: BTreeMap<ClaimKey, u32>,
@@ -41,7 +41,7 @@
         calls: Vec::new(),
         version: 0,
         value: BucketValue::default(),
-        out_until: TimePoint::default(),
+        outage_until: TimePoint::default(),
         next_incarnation: HOSTS as u64 + 1,
         runs: BTreeMap::new(),
         answers: BTreeMap::new(),
@@ -58,20 +58,20 @@
 impl ClaimWorld {
     fn step(&mut self) {
         self.now = self.now + STEP;
-        self.strike();
+        self.inject_faults();
         if self.rng.random_bool(0.3) {
             self.present();
         }
-        self.work_store();
+        self.run_store();
         self.finish_runs();
         for host in 0..HOSTS {
-            if self.hosts[host].paused_until <= self.now && !self.hosts[host].calls_open {
-                self.send_order(host);
+            if self.hosts[host].paused_until <= self.now && !self.hosts[host].has_pending_call {
+                self.send_store_call(host);
             }
         }
     }
 
-    fn strike(&mut self) {
+    fn inject_faults(&mut self) {
         if self.rng.random_bool(0.004) {
             let host = self.rng.random_range(0..HOSTS);
             self.hosts[host] = ClaimHost::new(self.next_incarnation);
@@ -86,36 +86,36 @@
         }
         if self.rng.random_bool(0.003) {
             let outage = Duration::from_millis(self.rng.random_range(100..4000));
-            self.out_until = self.now + outage;
+            self.outage_until = self.now + outage;
             self.report.faults += 1;
         }
     }
 
     fn present(&mut self) {
-        let place = self.rng.random_range(0..HOSTS);
-        if self.hosts[place].paused_until > self.now {
+        let index = self.rng.random_range(0..HOSTS);
+        if self.hosts[index].paused_until > self.now {
             return;
         }
         // Keys grow slowly, so that each is repeated for a while, at any host.
         let base = self.report.tried / 12;
         let key = ClaimKey(base + self.rng.random_range(0..KEYS), 1);
         self.report.tried += 1;
-        let presented = self.hosts[place].outcomes.present(key, BODY);
+        let presented = self.hosts[index].outcomes.present(key, BODY_HASH);
         if presented != KeyStatus::NeverSeen {
-            return self.tell(key, presented);
+            return self.record_status(key, presented);
         }
-        let host = &mut self.hosts[place];
+        let host = &mut self.hosts[index];
         host.serial += 1;
         let attempt = AttemptId { owner: host.incarnation, serial: host.serial };
-        host.outcomes.begin(self.now, key, attempt, BODY);
+        host.outcomes.begin(self.now, key, attempt, BODY_HASH);
         host.waiting.insert(attempt, key);
-        let record = ClaimRecord { key, attempt, body: BODY, at_seconds: 0 };
+        let record = ClaimRecord { key, attempt, body: BODY_HASH, at_seconds: 0 };
         if let Some(verdict) = host.bucket.submit(ClaimRequest::Take(record)) {
-            self.settle(place, vec![(attempt, verdict)]);
+            self.apply_verdicts(index, vec![(attempt, verdict)]);
         }
     }
 
-    fn tell(&mut self, key: ClaimKey, presented: KeyStatus) {
+    fn record_status(&mut self, key: ClaimKey, presented: KeyStatus) {
         match presented {
             KeyStatus::Answer(_) => {
                 let count = self.answers.entry(key).or_default();
@@ -135,53 +135,53 @@
         }
     }
 
-    fn send_order(&mut self, place: usize) {
-        let Some(order) = self.hosts[place].bucket.next_call(self.now, 1) else { return };
-        self.hosts[place].calls_open = true;
+    fn send_store_call(&mut self, index: usize) {
+        let Some(operation) = self.hosts[index].bucket.next_call(self.now, 1) else { return };
+        self.hosts[index].has_pending_call = true;
         // Some writes linger in the network and take effect long after they were given up.
-        let lingers = self.rng.random_bool(0.05);
-        let delay = self.rng.random_range(1..30) + if lingers { 1500 } else { 0 };
-        let arrives = self.now + Duration::from_millis(delay);
-        let lost = lingers || self.rng.random_bool(0.12);
-        let answers = if lost {
+        let is_delayed = self.rng.random_bool(0.05);
+        let delay = self.rng.random_range(1..30) + if is_delayed { 1500 } else { 0 };
+        let arrives_at = self.now + Duration::from_millis(delay);
+        let is_lost = is_delayed || self.rng.random_bool(0.12);
+        let answers = if is_lost {
             self.now + Duration::from_millis(800)
         } else {
-            arrives + Duration::from_millis(self.rng.random_range(1..30))
+            arrives_at + Duration::from_millis(self.rng.random_range(1..30))
         };
         self.calls.push(StoreCall {
-            host: place,
-            incarnation: self.hosts[place].incarnation,
-            order,
-            arrives,
+            host: index,
+            incarnation: self.hosts[index].incarnation,
+            operation,
+            arrives_at,
             answers,
-            arrived: false,
+            has_arrived: false,
             answer: None,
-            lost,
+            is_lost,
         });
     }
 
-    fn work_store(&mut self) {
-        let out = self.out_until > self.now;
+    fn run_store(&mut self) {
+        let is_down = self.outage_until > self.now;
         let mut calls = std::mem::take(&mut self.calls);
-        for call in calls.iter_mut().filter(|call| !call.arrived) {
-            if call.arrives <= self.now {
-                call.arrived = true;
-                call.answer = Some(self.take_effect(out, &call.order));
+        for call in calls.iter_mut().filter(|call| !call.has_arrived) {
+            if call.arrives_at <= self.now {
+                call.has_arrived = true;
+                call.answer = Some(self.apply_operation(is_down, &call.operation));
             }
         }
         let now = self.now;
         for call in calls.iter_mut().filter(|call| call.answers <= now) {
-            self.deliver(call);
+            self.deliver_answer(call);
         }
-        calls.retain(|call| call.answers > now || !call.arrived);
+        calls.retain(|call| call.answers > now || !call.has_arrived);
         self.calls.append(&mut calls);
     }
 
-    fn take_effect(&mut self, out: bool, order: &BucketCall) -> StoreAnswer {
-        if out {
+    fn apply_operation(&mut self, is_down: bool, operation: &BucketCall) -> StoreAnswer {
+        if is_down {
             return StoreAnswer::Refused;
         }
-        match order {
+        match operation {
             BucketCall::Read => StoreAnswer::Read(self.version, self.value.clone()),
             BucketCall::Write { expected, value } if *expected == self.version => {
                 self.version += 1;
@@ -192,22 +192,22 @@
         }
     }
 
-    fn deliver(&mut self, call: &mut StoreCall) {
+    fn deliver_answer(&mut self, call: &mut StoreCall) {
         let host = &mut self.hosts[call.host];
-        let same_life = host.incarnation == call.incarnation;
+        let is_current = host.incarnation == call.incarnation;
         let first =
             std::mem::replace(&mut call.answers, TimePoint(u64::MAX)) != TimePoint(u64::MAX);
-        if !same_life || !first {
+        if !is_current || !first {
             return;
         }
         if host.paused_until > self.now {
             call.answers = host.paused_until;
             return;
         }
-        host.calls_open = false;
+        host.has_pending_call = false;
         let bucket = &mut host.bucket;
-        let verdicts = match (call.lost, call.answer.take()) {
-            (true, _) | (_, None) => match (&call.order, self.bug) {
+        let verdicts = match (call.is_lost, call.answer.take()) {
+            (true, _) | (_, None) => match (&call.operation, self.bug) {
                 (BucketCall::Write { expected, value }, InjectedBug::AssumeWriteSucceeded) => {
                     bucket.on_written(expected + 1, value.clone())
                 }
@@ -227,34 +227,34 @@
             }
             (false, Some(StoreAnswer::Refused)) => bucket.on_failed(),
         };
-        self.settle(call.host, verdicts);
+        self.apply_verdicts(call.host, verdicts);
     }
 
-    fn settle(&mut self, place: usize, verdicts: Vec<(AttemptId, ClaimVerdict)>) {
+    fn apply_verdicts(&mut self, index: usize, verdicts: Vec<(AttemptId, ClaimVerdict)>) {
         for (attempt, verdict) in verdicts {
-            let Some(key) = self.hosts[place].waiting.remove(&attempt) else { continue };
+            let Some(key) = self.hosts[index].waiting.remove(&attempt) else { continue };
             match verdict {
                 ClaimVerdict::Granted => {
                     let ends = self.now + Duration::from_millis(self.rng.random_range(10..200));
                     let reaches = self.rng.random_bool(0.9);
                     if reaches {
-                        self.note_run(key);
+                        self.record_run(key);
                     }
-                    self.hosts[place].running.push((attempt, key, ends, reaches));
+                    self.hosts[index].running.push((attempt, key, ends, reaches));
                 }
-                ClaimVerdict::Unsettled => self.hosts[place].outcomes.abandon(key, attempt),
-                ClaimVerdict::Taken(standing) => {
-                    self.hosts[place].outcomes.abandon(key, attempt);
-                    self.ask_claimant(standing);
+                ClaimVerdict::Unsettled => self.hosts[index].outcomes.abandon(key, attempt),
+                ClaimVerdict::Taken(existing) => {
+                    self.hosts[index].outcomes.abandon(key, attempt);
+                    self.query_claimant(existing);
                 }
             }
         }
     }
 
-    fn ask_claimant(&mut self, standing: ClaimRecord) {
-        let (key, attempt) = (standing.key, standing.attempt);
+    fn query_claimant(&mut self, existing: ClaimRecord) {
+        let (key, attempt) = (existing.key, existing.attempt);
         if self.bug == InjectedBug::SkipClaimantCheck {
-            return self.tell(key, KeyStatus::NotRun);
+            return self.record_status(key, KeyStatus::NotRun);
         }
         let now = self.now;
         let claimant = self
@@ -262,14 +262,14 @@
             .iter_mut()
             .find(|host| host.incarnation == attempt.owner && host.paused_until <= now);
         let Some(claimant) = claimant else { return };
-        let presented = claimant.outcomes.present_claimed(key, attempt, BODY);
+        let presented = claimant.outcomes.present_claimed(key, attempt, BODY_HASH);
         if presented == KeyStatus::NotRun {
             let _ = claimant.bucket.submit(ClaimRequest::Release(key, attempt));
         }
-        self.tell(key, presented);
+        self.record_status(key, presented);
     }
 
-    fn note_run(&mut self, key: ClaimKey) {
+    fn record_run(&mut self, key: ClaimKey) {
         let count = self.runs.entry(key).or_default();
         *count += 1;
         if *count > 1 {
@@ -278,12 +278,12 @@
     }
 
     fn finish_runs(&mut self) {
-        for place in 0..HOSTS {
-            if self.hosts[place].paused_until > self.now {
+        for index in 0..HOSTS {
+            if self.hosts[index].paused_until > self.now {
                 continue;
             }
             let now = self.now;
-            let host = &mut self.hosts[place];
+            let host = &mut self.hosts[index];
             for (attempt, key, _, reached) in host.running.extract_if(.., |run| run.2 <= now) {
                 if !reached {
                     host.outcomes.abandon(key, attempt);
--- a/src/bench/worlds/limit_exchange.rs
+++ b/src/bench/worlds/limit_exchange.rs
@@ -1,10 +1,10 @@
-//! What hosts of the limit world ask, grant, lend and tell each other.
+//! What hosts of the limit world request, receive_request, lend and report_usage each other.
 
 use super::InjectedBug;
-use super::limit_parts::{OpenAsk, ParcelBody};
-use super::limit_world::{ANSWER_LIMIT, BOUNDS, DOMAINS, LimitWorld, org};
+use super::limit_parts::{LimitMessage, PendingRequest};
+use super::limit_world::{BOUNDS, DOMAINS, LimitWorld, REPLY_TIMEOUT, org};
 use super::world_host::domain_key;
-use super::world_net::Parcel;
+use super::world_network::QueuedDatagram;
 use crate::keys::{IncarnationId, NameKey};
 use crate::limits::{LimitReply, LimitRequest, LimitShare, OwnerChoice, choose_owner};
 use crate::membership::MemberUpdate;
@@ -12,169 +12,197 @@
 use std::time::Duration;
 
 impl LimitWorld {
-    pub fn ask_owner(&mut self, place: usize, ask: LimitRequest) {
-        match self.owner(place, self.hosts[place].update.domain) {
+    pub fn request_units(&mut self, index: usize, request: LimitRequest) {
+        match self.owner(index, self.hosts[index].update.domain) {
             OwnerChoice::Own => {
-                let answer = self.grant(place, self.hosts[place].update.incarnation, &ask);
-                self.hear(place, &ask, &answer);
+                let reply =
+                    self.receive_request(index, self.hosts[index].update.incarnation, &request);
+                self.apply_reply(index, &request, &reply);
             }
             OwnerChoice::Other(owner) => {
-                let until = self.now + ANSWER_LIMIT;
-                self.open.push(OpenAsk { host: place, owner: owner.incarnation, ask, until });
-                self.send(place, owner, ParcelBody::Ask(ask));
+                let until = self.now + REPLY_TIMEOUT;
+                self.pending.push(PendingRequest {
+                    host: index,
+                    owner: owner.incarnation,
+                    request,
+                    until,
+                });
+                self.send_datagram(index, owner, LimitMessage::Request(request));
             }
-            OwnerChoice::Unknown => self.use_alone(place, &ask),
+            OwnerChoice::Unknown => self.use_without_owner(index, &request),
         }
     }
 
-    fn place_of(&self, host: MemberUpdate) -> usize {
+    fn index_of(&self, host: MemberUpdate) -> usize {
         usize::try_from(host.incarnation.0).unwrap_or_default() % self.hosts.len()
     }
 
-    pub fn owner(&self, place: usize, domain: NameKey) -> OwnerChoice {
-        let host = &self.hosts[place];
+    pub fn owner(&self, index: usize, domain: NameKey) -> OwnerChoice {
+        let host = &self.hosts[index];
         let living = host.living(self.now, domain);
-        let (age, own) = (host.age(self.now), host.update.incarnation);
-        choose_owner(age, org(), own, host.is_alone(), living.into_iter(), &host.silent)
+        let (local_now, own) = (host.local_time(self.now), host.update.incarnation);
+        choose_owner(
+            local_now,
+            org(),
+            own,
+            host.is_alone(),
+            living.into_iter(),
+            &host.silent_owners,
+        )
     }
 
-    fn share(&self, place: usize) -> LimitShare {
+    fn share(&self, index: usize) -> LimitShare {
         let share = LimitShare::for_domain(&self.limit, &BOUNDS);
-        let (seen, known) = self.hosts[place].domain_hosts(self.now);
+        let (seen, known) = self.hosts[index].domain_counts(self.now);
         if self.bug == InjectedBug::GrantWholeShare { share } else { share.scaled(seen, known) }
     }
 
-    pub fn grant(&mut self, place: usize, from: IncarnationId, ask: &LimitRequest) -> LimitReply {
-        let (mut share, age) = (self.share(place), self.hosts[place].age(self.now));
-        let is_owner = self.owner(place, self.hosts[place].update.domain) == OwnerChoice::Own;
+    pub fn receive_request(
+        &mut self,
+        index: usize,
+        from: IncarnationId,
+        request: &LimitRequest,
+    ) -> LimitReply {
+        let (mut share, local_now) = (self.share(index), self.hosts[index].local_time(self.now));
+        let is_owner = self.owner(index, self.hosts[index].update.domain) == OwnerChoice::Own;
         if !is_owner {
             share.initial = 0.0;
         }
         let is_settled = is_owner
-            && self.hosts[place].is_settled(self.now, BOUNDS.window)
-            && self.hosts[place].tools.ledger.term().lasts_for(age, BOUNDS.window);
-        let ledger = &mut self.hosts[place].tools.ledger;
-        let answer = ledger.receive(age, from, ask, &share, is_settled);
-        if ledger.wants_loan(age, org(), &share) {
-            self.ask_loans(place, &share);
+            && self.hosts[index].is_settled(self.now, BOUNDS.window)
+            && self.hosts[index].state.ledger.term().lasts_for(local_now, BOUNDS.window);
+        let ledger = &mut self.hosts[index].state.ledger;
+        let reply = ledger.receive(local_now, from, request, &share, is_settled);
+        if ledger.wants_loan(local_now, org(), &share) {
+            self.request_loans(index, &share);
         }
-        answer
+        reply
     }
 
     /// A host looks after the account that it has as the owner.
-    pub fn look_after_account(&mut self, place: usize) {
-        let is_owner = self.owner(place, self.hosts[place].update.domain) == OwnerChoice::Own;
-        let host = &mut self.hosts[place];
-        let (age, looked_at) = (host.age(self.now), host.tools.ledger.term().renewed_at());
+    pub fn check_ownership(&mut self, index: usize) {
+        let is_owner = self.owner(index, self.hosts[index].update.domain) == OwnerChoice::Own;
+        let host = &mut self.hosts[index];
+        let (local_now, renewed_at) =
+            (host.local_time(self.now), host.state.ledger.term().renewed_at());
         // Its own clock began with its life.
-        let since = self.now - age.since(looked_at);
+        let since = self.now - local_now.since(renewed_at);
         let has_owned = is_owner && host.has_owned(org(), since);
         if self.bug != InjectedBug::KeepStaleAccounts {
-            host.tools.ledger.check_ownership(age, |_| has_owned);
+            host.state.ledger.check_ownership(local_now, |_| has_owned);
         }
     }
 
-    fn ask_loans(&mut self, place: usize, share: &LimitShare) {
-        let domain = self.hosts[place].update.domain;
+    fn request_loans(&mut self, index: usize, share: &LimitShare) {
+        let domain = self.hosts[index].update.domain;
         let lenders: Vec<MemberUpdate> = (0..DOMAINS)
             .map(domain_key)
             .filter(|other| *other != domain)
-            .filter_map(|domain| match self.owner(place, domain) {
+            .filter_map(|domain| match self.owner(index, domain) {
                 OwnerChoice::Other(owner) => Some(owner),
                 OwnerChoice::Own | OwnerChoice::Unknown => None,
             })
             .collect();
-        let age = self.hosts[place].age(self.now);
-        let loans = self.hosts[place].tools.ledger.request_loans(age, org(), share, lenders.len());
+        let local_now = self.hosts[index].local_time(self.now);
+        let loans =
+            self.hosts[index].state.ledger.request_loans(local_now, org(), share, lenders.len());
         for (lender, loan) in lenders.into_iter().zip(loans) {
-            self.send(place, lender, ParcelBody::LoanRequest(loan));
+            self.send_datagram(index, lender, LimitMessage::LoanRequest(loan));
         }
     }
 
-    pub fn send(&mut self, place: usize, to: MemberUpdate, body: ParcelBody) {
-        let from = self.hosts[place].update;
+    pub fn send_datagram(&mut self, index: usize, to: MemberUpdate, body: LimitMessage) {
+        let from = self.hosts[index].update;
         let delay = Duration::from_millis(self.rng.random_range(0..25));
         let lost = self.rng.random_bool(0.02);
         if !lost {
-            self.net.post(Parcel { due: self.now + delay, from, to, body });
+            self.network.send(QueuedDatagram { due: self.now + delay, from, to, body });
         }
     }
 
-    pub fn deliver(&mut self, parcel: Parcel<ParcelBody>) {
-        let place = self.place_of(parcel.to);
-        let from = self.place_of(parcel.from);
-        let host = &self.hosts[place];
-        if host.update.incarnation != parcel.to.incarnation || !self.net.is_open(from, place) {
+    pub fn deliver_datagram(&mut self, datagram: QueuedDatagram<LimitMessage>) {
+        let index = self.index_of(datagram.to);
+        let from = self.index_of(datagram.from);
+        let host = &self.hosts[index];
+        if host.update.incarnation != datagram.to.incarnation
+            || !self.network.is_connected(from, index)
+        {
             return;
         }
         if host.suspended_until > self.now {
             // It lies in the socket's buffer until the host goes on.
-            return self.net.post(Parcel { due: host.suspended_until, ..parcel });
+            return self.network.send(QueuedDatagram { due: host.suspended_until, ..datagram });
         }
-        let age = host.age(self.now);
-        let share = self.share(place);
-        match parcel.body {
-            ParcelBody::Ask(ask) => {
-                let answer = self.grant(place, parcel.from.incarnation, &ask);
-                self.send(place, parcel.from, ParcelBody::Answer(answer));
+        let local_now = host.local_time(self.now);
+        let share = self.share(index);
+        match datagram.body {
+            LimitMessage::Request(request) => {
+                let reply = self.receive_request(index, datagram.from.incarnation, &request);
+                self.send_datagram(index, datagram.from, LimitMessage::Reply(reply));
             }
-            ParcelBody::Answer(answer) => {
-                let waits = |open: &OpenAsk| {
-                    open.host == place
-                        && open.ask.sequence == answer.sequence
-                        && open.owner == parcel.from.incarnation
+            LimitMessage::Reply(reply) => {
+                let is_match = |pending: &PendingRequest| {
+                    pending.host == index
+                        && pending.request.sequence == reply.sequence
+                        && pending.owner == datagram.from.incarnation
                 };
-                if let Some(at) = self.open.iter().position(waits) {
-                    let open = self.open.swap_remove(at);
-                    self.hear(place, &open.ask, &answer);
+                if let Some(at) = self.pending.iter().position(is_match) {
+                    let pending = self.pending.swap_remove(at);
+                    self.apply_reply(index, &pending.request, &reply);
                 }
             }
-            ParcelBody::LoanRequest(ask) => {
-                let loan = self.hosts[place].tools.ledger.lend(age, &ask, &share);
+            LimitMessage::LoanRequest(request) => {
+                let loan = self.hosts[index].state.ledger.lend(local_now, &request, &share);
                 if let Some(loan) = loan {
-                    self.send(place, parcel.from, ParcelBody::Loan(loan));
+                    self.send_datagram(index, datagram.from, LimitMessage::Loan(loan));
                 }
             }
-            ParcelBody::Loan(loan) => {
-                self.hosts[place].tools.ledger.accept_loan(age, &loan, &share)
+            LimitMessage::Loan(loan) => {
+                self.hosts[index].state.ledger.accept_loan(local_now, &loan, &share)
             }
         }
     }
 
-    fn hear(&mut self, place: usize, ask: &LimitRequest, answer: &LimitReply) {
-        let age = self.hosts[place].age(self.now);
-        self.hosts[place].tools.meter.apply_reply(age, answer, ask.units);
-        if answer.refused_ms.is_none() {
-            self.admit(ask.units);
+    fn apply_reply(&mut self, index: usize, request: &LimitRequest, reply: &LimitReply) {
+        let local_now = self.hosts[index].local_time(self.now);
+        self.hosts[index].state.meter.apply_reply(local_now, reply, request.units);
+        if reply.refused_ms.is_none() {
+            self.record_admitted(request.units);
         }
     }
 
-    fn use_alone(&mut self, place: usize, ask: &LimitRequest) {
-        let age = self.hosts[place].age(self.now);
-        let (_, known) = self.hosts[place].domain_hosts(self.now);
+    fn use_without_owner(&mut self, index: usize, request: &LimitRequest) {
+        let local_now = self.hosts[index].local_time(self.now);
+        let (_, known) = self.hosts[index].domain_counts(self.now);
         let share = LimitShare::for_domain(&self.limit, &BOUNDS);
-        if self.hosts[place].tools.meter.use_without_owner(age, org(), ask.units, &share, known) {
-            self.admit(ask.units);
+        if self.hosts[index].state.meter.use_without_owner(
+            local_now,
+            org(),
+            request.units,
+            &share,
+            known,
+        ) {
+            self.record_admitted(request.units);
         }
     }
 
-    fn admit(&mut self, units: u32) {
+    fn record_admitted(&mut self, units: u32) {
         self.report.done += u64::from(units);
-        self.window.note(self.now, units);
+        self.window.record(self.now, units);
     }
 
-    pub fn give_up_asks(&mut self) {
+    pub fn expire_pending(&mut self) {
         let now = self.now;
-        let (late, open): (Vec<OpenAsk>, Vec<OpenAsk>) =
-            self.open.drain(..).partition(|open| now >= open.until);
-        self.open = open;
-        for ask in late {
-            let host = &mut self.hosts[ask.host];
+        let (late, pending): (Vec<PendingRequest>, Vec<PendingRequest>) =
+            self.pending.drain(..).partition(|pending| now >= pending.until);
+        self.pending = pending;
+        for request in late {
+            let host = &mut self.hosts[request.host];
             // The process that asked may be another one by now.
-            if host.runs(now) {
-                let age = host.age(now);
-                host.silent.record(age, ask.owner);
-                self.use_alone(ask.host, &ask.ask);
+            if host.is_running(now) {
+                let local_now = host.local_time(now);
+                host.silent_owners.record(local_now, request.owner);
+                self.use_without_owner(request.host, &request.request);
             }
         }
     }
--- a/src/bench/worlds/limit_parts.rs
+++ b/src/bench/worlds/limit_parts.rs
@@ -6,55 +6,55 @@
 
 /// What a host of the limit world runs.
 #[derive(Debug, Default)]
-pub(super) struct LimitTools {
+pub(super) struct LimitState {
     pub meter: LimitMeter,
     pub ledger: LimitLedger,
 }
 
 /// One host of the limit world.
-pub(super) type LimitHost = WorldHost<LimitTools>;
+pub(super) type LimitHost = WorldHost<LimitState>;
 
-/// A request that waits for its owner's answer.
+/// A request that is_match for its owner's reply.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct OpenAsk {
+pub(super) struct PendingRequest {
     pub host: usize,
     pub owner: IncarnationId,
-    pub ask: LimitRequest,
+    pub request: LimitRequest,
     pub until: TimePoint,
 }
 
 /// What hosts send each other.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum ParcelBody {
-    Ask(LimitRequest),
-    Answer(LimitReply),
+pub(super) enum LimitMessage {
+    Request(LimitRequest),
+    Reply(LimitReply),
     LoanRequest(LoanRequest),
     Loan(LimitLoan),
 }
 
 /// What was used in a sliding window.
 #[derive(Debug)]
-pub(super) struct UseWindow {
+pub(super) struct UsageWindow {
     length: Duration,
-    uses: VecDeque<(TimePoint, u32)>,
+    entries: VecDeque<(TimePoint, u32)>,
 }
 
-impl UseWindow {
+impl UsageWindow {
     /// A window of `length`.
     pub fn new(length: Duration) -> Self {
-        Self { length, uses: VecDeque::new() }
+        Self { length, entries: VecDeque::new() }
     }
 
     /// Units were used.
-    pub fn note(&mut self, now: TimePoint, units: u32) {
-        self.uses.push_back((now, units));
+    pub fn record(&mut self, now: TimePoint, units: u32) {
+        self.entries.push_back((now, units));
     }
 
     /// Units used in the window that ends now.
     pub fn used(&mut self, now: TimePoint) -> u64 {
-        while self.uses.front().is_some_and(|(at, _)| now.since(*at) > self.length) {
-            self.uses.pop_front();
+        while self.entries.front().is_some_and(|(at, _)| now.since(*at) > self.length) {
+            self.entries.pop_front();
         }
-        self.uses.iter().map(|(_, units)| u64::from(*units)).sum()
+        self.entries.iter().map(|(_, units)| u64::from(*units)).sum()
     }
 }
--- a/src/bench/worlds/limit_world.rs
+++ b/src/bench/worlds/limit_world.rs
@@ -1,6 +1,6 @@
-use super::limit_parts::{LimitHost, OpenAsk, ParcelBody, UseWindow};
-use super::world_host::meet_all;
-use super::world_net::WorldNet;
+use super::limit_parts::{LimitHost, LimitMessage, PendingRequest, UsageWindow};
+use super::world_host::exchange_contacts;
+use super::world_network::WorldNetwork;
 use super::{InjectedBug, WorldReport};
 use crate::keys::{OrgKey, TimePoint};
 use crate::limits::{LimitBounds, OwnerChoice};
@@ -14,38 +14,38 @@
 const DOMAIN_HOSTS: [usize; 2] = [10, 29];
 const STEP: Duration = Duration::from_millis(10);
 /// An owner that has not answered by then counts as silent.
-pub(super) const ANSWER_LIMIT: Duration = Duration::from_millis(60);
-const TELL_STEPS: u64 = 25;
-const MEET_STEPS: u64 = 10;
+pub(super) const REPLY_TIMEOUT: Duration = Duration::from_millis(60);
+const REPORT_STEPS: u64 = 25;
+const CONTACT_STEPS: u64 = 10;
 /// Steps between two faults, on average.
 const FAULT_STEPS: u32 = 250;
-/// A request is about half of a domain's part of a second, as long prompts are.
+/// A request is about half of a domain's probability of a second, as long prompts are.
 const REQUEST_UNITS: std::ops::RangeInclusive<u32> = 2_000..=12_000;
-/// Units a second of small and large organisations: of the large ones the tolerance is the smaller part.
+/// Units a second of small and large organisations: of the large ones the tolerance is the smaller probability.
 const RATES: [f64; 3] = [36_000.0, 80_000.0, 186_000.0];
 pub(super) const BOUNDS: LimitBounds =
     LimitBounds { window: Duration::from_secs(8), over: 0.1, slack: 140_000.0, domains: DOMAINS };
-/// What callers ask for at most times, and while one organisation sends many times its usual, as parts of
+/// What callers request for at most times, and while one organisation sends many times its usual, as parts of
 /// its limit.
-const USUAL_LOAD: f64 = 0.55;
-const HOT_LOAD: f64 = 4.0;
+const NORMAL_LOAD: f64 = 0.55;
+const OVERLOAD: f64 = 4.0;
 
 #[derive(Debug)]
 pub(super) struct LimitWorld {
     pub rng: StdRng,
     pub now: TimePoint,
-    turn: u64,
+    step_count: u64,
     pub hosts: Vec<LimitHost>,
-    pub net: WorldNet<ParcelBody>,
-    pub open: Vec<OpenAsk>,
-    pub window: UseWindow,
+    pub network: WorldNetwork<LimitMessage>,
+    pub pending: Vec<PendingRequest>,
+    pub window: UsageWindow,
     pub limit: OrgLimit,
     load: f64,
     pub bug: InjectedBug,
     pub report: WorldReport,
 }
 
-/// Runs the world of one organisation's limit: hosts of three failure domains that grant, borrow and tell,
+/// Runs the world of one organisation's limit: hosts of three failure domains that receive_request, borrow and report_usage,
 /// over links that lose datagrams, with domains and hosts cut off, suspended and killed, alone and all at
 /// once, while the organisation asks for up to four times its limit.
 pub fn run_limit_world(seed: u64, steps: u64, bug: InjectedBug) -> WorldReport {
@@ -56,18 +56,18 @@
     let mut world = LimitWorld {
         rng,
         now: TimePoint::from_millis(20_000),
-        turn: 0,
-        hosts: (0..hosts).map(|place| LimitHost::new(place, hosts, domain_hosts)).collect(),
-        net: WorldNet::new(hosts, domain_hosts),
-        open: Vec::new(),
-        window: UseWindow::new(BOUNDS.window),
+        step_count: 0,
+        hosts: (0..hosts).map(|index| LimitHost::new(index, hosts, domain_hosts)).collect(),
+        network: WorldNetwork::new(hosts, domain_hosts),
+        pending: Vec::new(),
+        window: UsageWindow::new(BOUNDS.window),
         limit: OrgLimit { rate, burst: rate, unit: LimitUnit::Requests },
-        load: USUAL_LOAD,
+        load: NORMAL_LOAD,
         bug,
         report: WorldReport::default(),
     };
     for _ in 0..steps {
-        world.strike();
+        world.inject_faults();
         world.step();
     }
     world.report.steps = steps;
@@ -79,95 +79,99 @@
 }
 
 impl LimitWorld {
-    fn strike(&mut self) {
+    fn inject_faults(&mut self) {
         if self.rng.random_range(0..FAULT_STEPS) != 0 {
             return;
         }
         self.report.faults += 1;
         let until = self.now + Duration::from_millis(self.rng.random_range(1000..8000));
         match self.rng.random_range(0..7) {
-            0 => self.net.cut_domain(self.rng.random_range(0..DOMAINS), until),
-            1 => self.each_host(0.33, |world, place| world.net.cut_host(place, until)),
-            2 => self.each_host(0.1, |world, place| world.hosts[place].suspended_until = until),
-            3 => self.each_host(0.2, |world, place| world.restart(place)),
-            4 => self.each_host(1.0, |world, place| world.restart(place)),
-            _ => self.load = if self.load > 1.0 { USUAL_LOAD } else { HOT_LOAD },
+            0 => self.network.isolate_domain(self.rng.random_range(0..DOMAINS), until),
+            1 => self
+                .for_sampled_hosts(0.33, |world, index| world.network.isolate_host(index, until)),
+            2 => self
+                .for_sampled_hosts(0.1, |world, index| world.hosts[index].suspended_until = until),
+            3 => self.for_sampled_hosts(0.2, |world, index| world.restart(index)),
+            4 => self.for_sampled_hosts(1.0, |world, index| world.restart(index)),
+            _ => self.load = if self.load > 1.0 { NORMAL_LOAD } else { OVERLOAD },
         }
     }
 
-    fn each_host(&mut self, part: f64, mut hit: impl FnMut(&mut Self, usize)) {
-        for place in 0..self.hosts.len() {
-            if self.rng.random_bool(part) {
-                hit(self, place);
+    fn for_sampled_hosts(&mut self, probability: f64, mut apply: impl FnMut(&mut Self, usize)) {
+        for index in 0..self.hosts.len() {
+            if self.rng.random_bool(probability) {
+                apply(self, index);
             }
         }
     }
 
-    fn restart(&mut self, place: usize) {
-        let away = Duration::from_millis(self.rng.random_range(300..1500));
-        self.hosts[place].restart(self.now + away);
+    fn restart(&mut self, index: usize) {
+        let downtime = Duration::from_millis(self.rng.random_range(300..1500));
+        self.hosts[index].restart(self.now + downtime);
     }
 
     fn step(&mut self) {
         self.now = self.now + STEP;
-        self.turn += 1;
-        self.net.heal(self.now);
-        if self.turn.is_multiple_of(MEET_STEPS) {
-            meet_all(&mut self.hosts, &self.net, self.now);
+        self.step_count += 1;
+        self.network.heal(self.now);
+        if self.step_count.is_multiple_of(CONTACT_STEPS) {
+            exchange_contacts(&mut self.hosts, &self.network, self.now);
         }
-        for parcel in self.net.due(self.now) {
-            self.deliver(parcel);
+        for datagram in self.network.take_due(self.now) {
+            self.deliver_datagram(datagram);
         }
-        self.give_up_asks();
-        self.arrive();
-        if self.turn.is_multiple_of(TELL_STEPS) {
-            self.tell();
+        self.expire_pending();
+        self.generate_requests();
+        if self.step_count.is_multiple_of(REPORT_STEPS) {
+            self.report_usage();
         }
-        self.check();
+        self.check_limit();
     }
 
-    fn arrive(&mut self) {
+    fn generate_requests(&mut self) {
         let mean = f64::from(REQUEST_UNITS.start() + REQUEST_UNITS.end()) / 2.0;
         let expected = self.load * self.limit.rate * STEP.as_secs_f64() / mean;
         let whole = expected.floor();
-        let more = self.rng.random_bool(expected - whole);
-        for _ in 0..whole as u64 + u64::from(more) {
-            self.arrive_one();
+        let extra = self.rng.random_bool(expected - whole);
+        for _ in 0..whole as u64 + u64::from(extra) {
+            self.generate_request();
         }
     }
 
-    fn arrive_one(&mut self) {
-        let place = self.rng.random_range(0..self.hosts.len());
-        if !self.hosts[place].runs(self.now) {
+    fn generate_request(&mut self) {
+        let index = self.rng.random_range(0..self.hosts.len());
+        if !self.hosts[index].is_running(self.now) {
             return;
         }
         let units = self.rng.random_range(REQUEST_UNITS);
         self.report.tried += u64::from(units);
-        let age = self.hosts[place].age(self.now);
-        let ask = self.hosts[place].tools.meter.request_units(age, org(), units);
-        self.ask_owner(place, ask);
+        let local_now = self.hosts[index].local_time(self.now);
+        let request = self.hosts[index].state.meter.request_units(local_now, org(), units);
+        self.request_units(index, request);
     }
 
-    fn tell(&mut self) {
-        for place in 0..self.hosts.len() {
-            if !self.hosts[place].runs(self.now) {
+    fn report_usage(&mut self) {
+        for index in 0..self.hosts.len() {
+            if !self.hosts[index].is_running(self.now) {
                 continue;
             }
-            self.look_after_account(place);
-            let age = self.hosts[place].age(self.now);
-            for ask in self.hosts[place].tools.meter.unsent(age) {
-                match self.owner(place, self.hosts[place].update.domain) {
+            self.check_ownership(index);
+            let local_now = self.hosts[index].local_time(self.now);
+            for request in self.hosts[index].state.meter.unsent(local_now) {
+                match self.owner(index, self.hosts[index].update.domain) {
                     OwnerChoice::Own => {
-                        self.grant(place, self.hosts[place].update.incarnation, &ask);
+                        self.receive_request(index, self.hosts[index].update.incarnation, &request);
+                    }
+                    OwnerChoice::Other(owner) => {
+                        self.send_datagram(index, owner, LimitMessage::Request(request))
                     }
-                    OwnerChoice::Other(owner) => self.send(place, owner, ParcelBody::Ask(ask)),
                     OwnerChoice::Unknown => {}
                 }
             }
         }
     }
 
-    fn check(&mut self) {
+    fn check_limit(&mut self) {
         let seconds = BOUNDS.window.as_secs_f64();
         let allowed = self
             .limit
--- a/src/bench/worlds/member_world.rs
+++ b/src/bench/worlds/member_world.rs
@@ -10,22 +10,22 @@
 use std::time::Duration;
 
 const DOMAINS: usize = 3;
-const HOSTS_EACH: usize = 4;
+const DOMAIN_HOSTS: usize = 4;
 const STEP: Duration = Duration::from_millis(10);
 /// Time without faults at the end, after which all must agree.
-const HEAL: Duration = Duration::from_secs(40);
+const QUIET_TIME: Duration = Duration::from_secs(40);
 
 #[derive(Debug)]
 struct MemberHost {
     table: MemberTable,
     config: ActiveConfig,
     address: SocketAddr,
-    alive: bool,
+    is_alive: bool,
     paused_until: TimePoint,
 }
 
 #[derive(Debug)]
-struct Datagram {
+struct ProbeDatagram {
     from: usize,
     to: SocketAddr,
     due: TimePoint,
@@ -37,11 +37,11 @@
     rng: StdRng,
     now: TimePoint,
     hosts: Vec<MemberHost>,
-    flying: Vec<Datagram>,
+    in_flight: Vec<ProbeDatagram>,
     next_incarnation: u64,
-    newest: u64,
-    cut: Option<usize>,
-    lossy: bool,
+    newest_version: u64,
+    isolated_domain: Option<usize>,
+    is_lossy: bool,
     bug: InjectedBug,
     report: WorldReport,
 }
@@ -52,112 +52,113 @@
         rng: StdRng::seed_from_u64(seed),
         now: TimePoint::from_millis(1),
         hosts: Vec::new(),
-        flying: Vec::new(),
+        in_flight: Vec::new(),
         next_incarnation: 1,
-        newest: 0,
-        cut: None,
-        lossy: true,
+        newest_version: 0,
+        isolated_domain: None,
+        is_lossy: true,
         bug,
         report: WorldReport::default(),
     };
-    for place in 0..DOMAINS * HOSTS_EACH {
-        let host = world.new_host(place);
+    for index in 0..DOMAINS * DOMAIN_HOSTS {
+        let host = world.new_host(index);
         world.hosts.push(host);
     }
     for _ in 0..steps {
-        world.strike();
+        world.inject_faults();
         world.step();
     }
-    world.heal();
-    world.check();
+    world.run_without_faults();
+    world.check_agreement();
     world.report.steps = steps;
     world.report
 }
 
-fn address_of(place: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 7000 + place as u16))
+fn address_of(index: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 7000 + index as u16))
 }
 
 impl MemberWorld {
-    fn new_host(&mut self, place: usize) -> MemberHost {
+    fn new_host(&mut self, index: usize) -> MemberHost {
         let incarnation = IncarnationId(self.next_incarnation);
         self.next_incarnation += 1;
-        let address = address_of(place);
-        let domain = NameKey(place as u64 / HOSTS_EACH as u64);
+        let address = address_of(index);
+        let domain = NameKey(index as u64 / DOMAIN_HOSTS as u64);
         let own =
             MemberUpdate { incarnation, address, domain, version: 0, state: MemberState::Alive };
-        let seeds = [0, HOSTS_EACH, 2 * HOSTS_EACH].map(address_of).to_vec();
+        let seeds = [0, DOMAIN_HOSTS, 2 * DOMAIN_HOSTS].map(address_of).to_vec();
         MemberHost {
             table: MemberTable::new(own, seeds, self.rng.random()),
             config: ActiveConfig::default(),
             address,
-            alive: true,
+            is_alive: true,
             paused_until: TimePoint::default(),
         }
     }
 
-    fn strike(&mut self) {
-        let place = self.rng.random_range(0..self.hosts.len());
+    fn inject_faults(&mut self) {
+        let index = self.rng.random_range(0..self.hosts.len());
         match self.rng.random_range(0..4000) {
-            0 => self.hosts[place].alive = false,
-            1..=3 if !self.hosts[place].alive => self.hosts[place] = self.new_host(place),
+            0 => self.hosts[index].is_alive = false,
+            1..=3 if !self.hosts[index].is_alive => self.hosts[index] = self.new_host(index),
             4 => {
                 let pause = Duration::from_millis(self.rng.random_range(100..6000));
-                self.hosts[place].paused_until = self.now + pause;
+                self.hosts[index].paused_until = self.now + pause;
             }
-            5 => self.cut = Some(self.rng.random_range(0..DOMAINS)),
-            6..=8 => self.cut = None,
-            9..=14 => self.confirm(place),
+            5 => self.isolated_domain = Some(self.rng.random_range(0..DOMAINS)),
+            6..=8 => self.isolated_domain = None,
+            9..=14 => self.confirm(index),
             _ => return,
         }
         self.report.faults += 1;
     }
 
     /// The store confirms the next version, and one host hears of it.
-    fn confirm(&mut self, place: usize) {
-        self.newest += 1;
-        self.adopt(place, self.newest);
+    fn confirm(&mut self, index: usize) {
+        self.newest_version += 1;
+        self.adopt(index, self.newest_version);
     }
 
-    fn adopt(&mut self, place: usize, version: u64) {
-        let before = self.hosts[place].config.current().version;
+    fn adopt(&mut self, index: usize, version: u64) {
+        let before = self.hosts[index].config.current().version;
         let config = ClusterConfig { version, ..Default::default() };
         if self.bug == InjectedBug::AdoptOlderConfig {
-            self.hosts[place].config = ActiveConfig::default();
+            self.hosts[index].config = ActiveConfig::default();
         }
-        self.hosts[place].config.adopt(config);
-        let after = self.hosts[place].config.current().version;
+        self.hosts[index].config.adopt(config);
+        let after = self.hosts[index].config.current().version;
         if after < before {
             self.report
-                .record_violation(format!("host {place} went back from {before} to {after}"));
+                .record_violation(format!("host {index} went back from {before} to {after}"));
         }
         let view = ViewMark { config_version: after, fleet_revision: 0 };
-        self.hosts[place].table.set_view(view);
-        let actions = self.hosts[place].table.push_updates(3, 1);
-        self.execute_actions(place, actions);
+        self.hosts[index].table.set_view(view);
+        let actions = self.hosts[index].table.push_updates(3, 1);
+        self.execute_actions(index, actions);
     }
 
     fn step(&mut self) {
         self.now = self.now + STEP;
         let now = self.now;
-        for place in 0..self.hosts.len() {
-            if self.hosts[place].alive && self.hosts[place].paused_until <= now {
-                let actions = self.hosts[place].table.tick(now);
-                self.execute_actions(place, actions);
+        for index in 0..self.hosts.len() {
+            if self.hosts[index].is_alive && self.hosts[index].paused_until <= now {
+                let actions = self.hosts[index].table.tick(now);
+                self.execute_actions(index, actions);
             }
         }
-        let (due, rest) = self.flying.drain(..).partition(|datagram| datagram.due <= now);
-        self.flying = rest;
-        let due: Vec<Datagram> = due;
+        let (due, rest) = self.in_flight.drain(..).partition(|datagram| datagram.due <= now);
+        self.in_flight = rest;
+        let due: Vec<ProbeDatagram> = due;
         for datagram in due {
-            self.deliver(datagram);
+            self.deliver_datagram(datagram);
         }
     }
 
-    fn deliver(&mut self, datagram: Datagram) {
+    fn deliver_datagram(&mut self, datagram: ProbeDatagram) {
         let target = self.hosts.iter().position(|host| host.address == datagram.to);
-        let Some(target) = target.filter(|place| self.hosts[*place].alive) else { return };
-        if self.hosts[target].paused_until > self.now || self.is_cut(datagram.from, target) {
+        let Some(target) = target.filter(|index| self.hosts[*index].is_alive) else { return };
+        if self.hosts[target].paused_until > self.now || self.is_partitioned(datagram.from, target)
+        {
             return;
         }
         let mut message = datagram.message;
@@ -170,102 +171,108 @@
         self.execute_actions(target, actions);
     }
 
-    fn is_cut(&self, from: usize, to: usize) -> bool {
-        let (left, right) = (from / HOSTS_EACH, to / HOSTS_EACH);
-        left != right && self.cut.is_some_and(|cut| cut == left || cut == right)
+    fn is_partitioned(&self, from: usize, to: usize) -> bool {
+        let (left, right) = (from / DOMAIN_HOSTS, to / DOMAIN_HOSTS);
+        left != right
+            && self
+                .isolated_domain
+                .is_some_and(|isolated_domain| isolated_domain == left || isolated_domain == right)
     }
 
-    fn execute_actions(&mut self, place: usize, actions: Vec<TableAction>) {
+    fn execute_actions(&mut self, index: usize, actions: Vec<TableAction>) {
         for action in actions {
             match action {
-                TableAction::Send(to, message) => self.send(place, to, message),
+                TableAction::Send(to, message) => self.send(index, to, message),
                 TableAction::FetchView(from) => {
                     let source = self.hosts.iter().position(|host| host.address == from);
-                    let Some(source) = source.filter(|s| self.hosts[*s].alive) else { continue };
-                    if !self.is_cut(place, source) {
+                    let Some(source) = source.filter(|s| self.hosts[*s].is_alive) else { continue };
+                    if !self.is_partitioned(index, source) {
                         let version = self.hosts[source].config.current().version;
-                        self.fetch(place, version);
+                        self.fetch(index, version);
                     }
                 }
-                TableAction::Compare(with) => self.compare(place, with),
+                TableAction::Compare(with) => self.compare(index, with),
                 TableAction::Died(_) => {}
             }
         }
     }
 
-    fn compare(&mut self, place: usize, with: SocketAddr) {
+    fn compare(&mut self, index: usize, with: SocketAddr) {
         let other = self.hosts.iter().position(|host| host.address == with);
-        let Some(other) = other.filter(|p| self.hosts[*p].alive && !self.is_cut(place, *p)) else {
+        let Some(other) =
+            other.filter(|p| self.hosts[*p].is_alive && !self.is_partitioned(index, *p))
+        else {
             return;
         };
         if self.hosts[other].paused_until > self.now || self.bug == InjectedBug::BlockRefutation {
             return;
         }
         let (ours, theirs) =
-            (self.hosts[place].table.all_updates(), self.hosts[other].table.all_updates());
-        self.hosts[place].table.merge_all(self.now, &theirs);
+            (self.hosts[index].table.all_updates(), self.hosts[other].table.all_updates());
+        self.hosts[index].table.merge_all(self.now, &theirs);
         self.hosts[other].table.merge_all(self.now, &ours);
     }
 
-    fn fetch(&mut self, place: usize, version: u64) {
-        let known = self.hosts[place].config.current().version;
+    fn fetch(&mut self, index: usize, version: u64) {
+        let newest_version = self.hosts[index].config.current().version;
         // Answers cross: now and then an older one comes last.
         let stale = self.rng.random_bool(0.1) && version > 1;
-        if version > known {
-            self.adopt(place, version);
+        if version > newest_version {
+            self.adopt(index, version);
         }
         if stale {
-            self.adopt(place, version - 1);
+            self.adopt(index, version - 1);
         }
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, message: ProbeMessage) {
-        if self.lossy && self.rng.random_bool(0.05) {
+        if self.is_lossy && self.rng.random_bool(0.05) {
             return;
         }
         let copies = 1 + usize::from(self.rng.random_bool(0.03));
         for _ in 0..copies {
             let due = self.now + Duration::from_millis(self.rng.random_range(1..40));
-            self.flying.push(Datagram { from, to, due, message: message.clone() });
+            self.in_flight.push(ProbeDatagram { from, to, due, message: message.clone() });
         }
     }
 
-    fn heal(&mut self) {
-        self.cut = None;
+    fn run_without_faults(&mut self) {
+        self.isolated_domain = None;
         // Lost datagrams are faults too: they would raise suspicions for ever.
-        self.lossy = false;
-        for place in 0..self.hosts.len() {
-            self.hosts[place].paused_until = TimePoint::default();
+        self.is_lossy = false;
+        for index in 0..self.hosts.len() {
+            self.hosts[index].paused_until = TimePoint::default();
         }
-        let until = self.now + HEAL;
+        let until = self.now + QUIET_TIME;
         while self.now < until {
             self.step();
         }
     }
 
-    /// All living hosts agree on who lives, who owns what, and the newest version.
-    fn check(&mut self) {
-        let living: Vec<usize> = (0..self.hosts.len()).filter(|p| self.hosts[*p].alive).collect();
-        let known = living.iter().map(|p| self.hosts[*p].config.current().version).max();
-        for place in &living {
-            let host = &self.hosts[*place];
+    /// All living hosts agree on who lives, who owns what, and the newest_version version.
+    fn check_agreement(&mut self) {
+        let living: Vec<usize> =
+            (0..self.hosts.len()).filter(|p| self.hosts[*p].is_alive).collect();
+        let newest_version = living.iter().map(|p| self.hosts[*p].config.current().version).max();
+        for index in &living {
+            let host = &self.hosts[*index];
             let version = host.config.current().version;
-            if Some(version) != known {
-                let line = format!("host {place} is at version {version}, not {known:?}");
+            if Some(version) != newest_version {
+                let line = format!("host {index} is at version {version}, not {newest_version:?}");
                 self.report.record_violation(line);
             }
-            let host = &self.hosts[*place];
-            for other in living.iter().filter(|other| *other != place) {
+            let host = &self.hosts[*index];
+            for other in living.iter().filter(|other| *other != index) {
                 let update = self.hosts[*other].table.own();
                 let state = host.table.record(update.incarnation).map(|r| r.update.state);
                 if state != Some(MemberState::Alive) {
-                    let line = format!("host {place} believes {state:?} of living {other}");
+                    let line = format!("host {index} believes {state:?} of living {other}");
                     self.report.record_violation(line);
                 }
             }
-            let host = &self.hosts[*place];
+            let host = &self.hosts[*index];
             let own = host.table.own();
-            let ghosts = host.table.records().filter(|record| {
+            let dead_members = host.table.records().filter(|record| {
                 let lives = living
                     .iter()
                     .any(|p| self.hosts[*p].table.own().incarnation == record.update.incarnation);
@@ -273,10 +280,11 @@
                     && record.update.domain == own.domain
                     && record.update.state != MemberState::Dead
             });
-            let ghosts = ghosts.count();
-            if ghosts > 0 {
-                self.report
-                    .record_violation(format!("host {place} believes in {ghosts} dead hosts"));
+            let dead_members = dead_members.count();
+            if dead_members > 0 {
+                self.report.record_violation(format!(
+                    "host {index} believes in {dead_members} dead hosts"
+                ));
             }
             self.report.done += 1;
         }
--- a/src/bench/worlds/mod.rs
+++ b/src/bench/worlds/mod.rs
@@ -10,14 +10,14 @@
 mod limit_parts;
 mod limit_world;
 mod member_world;
+mod send_calls;
 mod send_exchange;
-mod send_flights;
 mod send_parts;
 mod send_world;
 mod slot_world;
 mod stream_world;
 mod world_host;
-mod world_net;
+mod world_network;
 mod world_report;
 
 pub use claim_world::run_claim_world;
--- a/src/bench/worlds/send_exchange.rs
+++ b/src/bench/worlds/send_exchange.rs
@@ -1,10 +1,10 @@
-//! What hosts of the world of servers' limits ask and tell each other before they send to servers.
+//! What hosts of the world of servers' limits permit_request and tell each other before they send to servers.
 
 use super::InjectedBug;
-use super::send_parts::{OpenSend, SendBody, WorldRequest};
+use super::send_parts::{CallerRequest, PendingSend, SendMessage};
 use super::send_world::{DOMAINS, SendWorld};
 use super::world_host::domain_key;
-use super::world_net::Parcel;
+use super::world_network::QueuedDatagram;
 use crate::keys::TimePoint;
 use crate::limits::{OwnerChoice, choose_owner};
 use crate::membership::MemberUpdate;
@@ -12,59 +12,71 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// An owner that has not answered by then counts as silent.
-const REPLY_LIMIT: Duration = Duration::from_millis(65);
+/// An owner that has not observation by then counts as silent.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(65);
 /// Hosts that each host tells of limits at once.
-const TELL_COUNT: usize = 6;
+const UPDATE_FANOUT: usize = 6;
 /// Part of the datagrams that are lost.
-const LOST_PART: f64 = 0.02;
+const LOSS_RATE: f64 = 0.02;
 
 impl SendWorld {
     /// Sends a request to the first of its servers that takes it.
-    pub fn send_on(&mut self, place: usize, request: WorldRequest) {
+    pub fn route_request(&mut self, index: usize, request: CallerRequest) {
         let mut request = request;
         while let Some(server) = request.servers.pop() {
-            let (age, key) = (self.hosts[place].age(self.now), self.servers[server].key);
-            let sends = &mut self.hosts[place].tools;
-            if sends.limits.limit(key).is_none() {
-                sends.log.record(age, key);
-                return self.fly(place, server, age);
+            let (local_now, key) =
+                (self.hosts[index].local_time(self.now), self.servers[server].key);
+            let control = &mut self.hosts[index].state;
+            if control.limits.limit(key).is_none() {
+                control.log.record(local_now, key);
+                return self.dispatch(index, server, local_now);
             }
-            if !sends.is_open(age, key, request.rank) {
+            if !control.is_open(local_now, key, request.rank) {
                 continue;
             }
-            let mut ask = sends.permit_request(age, key, request.rank, PermitPurpose::Send);
+            let mut permit_request =
+                control.permit_request(local_now, key, request.rank, PermitPurpose::Send);
             if self.bug == InjectedBug::OmitSendHistory {
-                ask.history = SendHistory::default();
+                permit_request.history = SendHistory::default();
             }
-            match self.owner(place, server) {
+            match self.owner(index, server) {
                 OwnerChoice::Own => {
-                    let life = self.hosts[place].update.incarnation;
-                    let (reply, _) = self.hosts[place].tools.receive(age, life, &ask, true);
-                    if self.hosts[place].tools.apply_reply(age, &ask, Some(&reply)) {
-                        return self.fly(place, server, age);
+                    let incarnation = self.hosts[index].update.incarnation;
+                    let (reply, _) = self.hosts[index].state.receive(
+                        local_now,
+                        incarnation,
+                        &permit_request,
+                        true,
+                    );
+                    if self.hosts[index].state.apply_reply(local_now, &permit_request, Some(&reply))
+                    {
+                        return self.dispatch(index, server, local_now);
                     }
                 }
                 OwnerChoice::Other(owner) => {
                     request.servers.push(server);
-                    self.open.push(OpenSend {
-                        host: place,
+                    self.pending.push(PendingSend {
+                        host: index,
                         owner: owner.incarnation,
-                        ask: ask.clone(),
-                        until: self.now + REPLY_LIMIT,
+                        permit_request: permit_request.clone(),
+                        until: self.now + REPLY_TIMEOUT,
                         request,
                     });
-                    return self.send(place, owner, SendBody::Ask(ask));
+                    return self.send_datagram(
+                        index,
+                        owner,
+                        SendMessage::PermitRequest(permit_request),
+                    );
                 }
                 OwnerChoice::Unknown => {
-                    self.hosts[place].tools.apply_reply(age, &ask, None);
+                    self.hosts[index].state.apply_reply(local_now, &permit_request, None);
                 }
             }
         }
     }
 
-    pub fn owner(&self, place: usize, server: usize) -> OwnerChoice {
-        let host = &self.hosts[place];
+    pub fn owner(&self, index: usize, server: usize) -> OwnerChoice {
+        let host = &self.hosts[index];
         let own = host.update.incarnation;
         if self.bug == InjectedBug::GrantLocally {
             return OwnerChoice::Own;
@@ -75,145 +87,166 @@
             let domains = (0..DOMAINS).map(domain_key);
             living = domains.flat_map(|domain| host.living(self.now, domain)).collect();
         }
-        let age = host.age(self.now);
-        choose_owner(age, server.key, own, host.is_alone(), living.into_iter(), &host.silent)
+        let local_now = host.local_time(self.now);
+        choose_owner(
+            local_now,
+            server.key,
+            own,
+            host.is_alone(),
+            living.into_iter(),
+            &host.silent_owners,
+        )
     }
 
-    pub fn tell_news(&mut self, place: usize) {
-        if !self.hosts[place].runs(self.now) {
+    pub fn send_updates(&mut self, index: usize) {
+        if !self.hosts[index].is_running(self.now) {
             return;
         }
-        let age = self.hosts[place].age(self.now);
-        let news = self.hosts[place].tools.limits.unsent(age);
-        if news.is_empty() {
+        let local_now = self.hosts[index].local_time(self.now);
+        let updates = self.hosts[index].state.limits.unsent(local_now);
+        if updates.is_empty() {
             return;
         }
-        for _ in 0..TELL_COUNT {
+        for _ in 0..UPDATE_FANOUT {
             let target = self.rng.random_range(0..self.hosts.len());
             let target = self.hosts[target].update;
-            self.send(place, target, SendBody::News(news.clone()));
+            self.send_datagram(index, target, SendMessage::Updates(updates.clone()));
         }
     }
 
-    pub fn tell_trails(&mut self) {
-        for place in 0..self.hosts.len() {
-            if !self.hosts[place].runs(self.now) {
+    pub fn report_sends(&mut self) {
+        for index in 0..self.hosts.len() {
+            if !self.hosts[index].is_running(self.now) {
                 continue;
             }
-            let age = self.hosts[place].age(self.now);
+            let local_now = self.hosts[index].local_time(self.now);
             let owned: Vec<_> = (0..self.servers.len())
-                .filter(|server| self.owner(place, *server) == OwnerChoice::Own)
+                .filter(|server| self.owner(index, *server) == OwnerChoice::Own)
                 .map(|server| self.servers[server].key)
                 .collect();
-            self.hosts[place].tools.ledger.retain(age, |server| owned.contains(&server));
+            self.hosts[index].state.ledger.retain(local_now, |server| owned.contains(&server));
             for server in 0..self.servers.len() {
-                self.tell_trail(place, server, age);
+                self.report_server_sends(index, server, local_now);
             }
         }
     }
 
-    fn tell_trail(&mut self, place: usize, server: usize, age: TimePoint) {
+    fn report_server_sends(&mut self, index: usize, server: usize, local_now: TimePoint) {
         let key = self.servers[server].key;
-        let sends = &mut self.hosts[place].tools;
-        let is_told =
-            sends.limits.limit(key).is_some() && sends.log.recent(age, key, LOG_RETENTION) > 0;
-        if !is_told || self.bug == InjectedBug::OmitSendHistory {
+        let control = &mut self.hosts[index].state;
+        let is_informed = control.limits.limit(key).is_some()
+            && control.log.recent(local_now, key, LOG_RETENTION) > 0;
+        if !is_informed || self.bug == InjectedBug::OmitSendHistory {
             return;
         }
-        let ask = sends.permit_request(age, key, CallRank::default(), PermitPurpose::Report);
-        match self.owner(place, server) {
+        let permit_request =
+            control.permit_request(local_now, key, CallRank::default(), PermitPurpose::Report);
+        match self.owner(index, server) {
             OwnerChoice::Own => {
-                let life = self.hosts[place].update.incarnation;
-                self.hosts[place].tools.receive(age, life, &ask, true);
+                let incarnation = self.hosts[index].update.incarnation;
+                self.hosts[index].state.receive(local_now, incarnation, &permit_request, true);
+            }
+            OwnerChoice::Other(owner) => {
+                self.send_datagram(index, owner, SendMessage::PermitRequest(permit_request))
             }
-            OwnerChoice::Other(owner) => self.send(place, owner, SendBody::Ask(ask)),
             OwnerChoice::Unknown => {}
         }
     }
 
-    fn place_of(&self, host: MemberUpdate) -> usize {
+    fn index_of(&self, host: MemberUpdate) -> usize {
         usize::try_from(host.incarnation.0).unwrap_or_default() % self.hosts.len()
     }
 
-    pub fn send(&mut self, place: usize, to: MemberUpdate, body: SendBody) {
-        let from = self.hosts[place].update;
+    pub fn send_datagram(&mut self, index: usize, to: MemberUpdate, body: SendMessage) {
+        let from = self.hosts[index].update;
         let delay = Duration::from_millis(self.rng.random_range(0..25));
-        if !self.rng.random_bool(LOST_PART) {
-            self.net.post(Parcel { due: self.now + delay, from, to, body });
+        if !self.rng.random_bool(LOSS_RATE) {
+            self.network.send(QueuedDatagram { due: self.now + delay, from, to, body });
         }
     }
 
-    pub fn deliver(&mut self, parcel: Parcel<SendBody>) {
-        let place = self.place_of(parcel.to);
-        let from = self.place_of(parcel.from);
-        let host = &self.hosts[place];
-        if host.update.incarnation != parcel.to.incarnation || !self.net.is_open(from, place) {
+    pub fn deliver_datagram(&mut self, datagram: QueuedDatagram<SendMessage>) {
+        let index = self.index_of(datagram.to);
+        let from = self.index_of(datagram.from);
+        let host = &self.hosts[index];
+        if host.update.incarnation != datagram.to.incarnation
+            || !self.network.is_connected(from, index)
+        {
             return;
         }
-        if !host.runs(self.now) {
+        if !host.is_running(self.now) {
             // It lies in the socket's buffer until the host goes on.
-            return self.net.post(Parcel { due: host.suspended_until, ..parcel });
+            return self.network.send(QueuedDatagram { due: host.suspended_until, ..datagram });
         }
-        let age = host.age(self.now);
-        match parcel.body {
-            SendBody::News(news) => {
-                let book = &mut self.hosts[place].tools.limits;
-                let merged = news.iter().filter_map(|news| book.merge(age, news)).count();
+        let local_now = host.local_time(self.now);
+        match datagram.body {
+            SendMessage::Updates(updates) => {
+                let book = &mut self.hosts[index].state.limits;
+                let merged =
+                    updates.iter().filter_map(|updates| book.merge(local_now, updates)).count();
                 if merged > 0 {
-                    self.tell_news(place);
+                    self.send_updates(index);
                 }
             }
-            SendBody::Answered(answered) => {
-                self.hosts[place].tools.apply_observation(age, &answered);
+            SendMessage::Observation(observation) => {
+                self.hosts[index].state.apply_observation(local_now, &observation);
             }
-            SendBody::Ask(ask) => {
-                let server = self.servers.iter().position(|server| server.key == ask.update.server);
+            SendMessage::PermitRequest(permit_request) => {
+                let server = self
+                    .servers
+                    .iter()
+                    .position(|server| server.key == permit_request.update.server);
                 let Some(server) = server else { return };
-                let is_owner = self.owner(place, server) == OwnerChoice::Own;
-                let life = parcel.from.incarnation;
-                let (reply, _) = self.hosts[place].tools.receive(age, life, &ask, is_owner);
-                if ask.purpose.wants_reply() {
-                    self.send(place, parcel.from, SendBody::Reply(reply));
+                let is_owner = self.owner(index, server) == OwnerChoice::Own;
+                let incarnation = datagram.from.incarnation;
+                let (reply, _) = self.hosts[index].state.receive(
+                    local_now,
+                    incarnation,
+                    &permit_request,
+                    is_owner,
+                );
+                if permit_request.purpose.wants_reply() {
+                    self.send_datagram(index, datagram.from, SendMessage::PermitReply(reply));
                 }
             }
-            SendBody::Reply(reply) => {
-                let waits = |open: &OpenSend| {
-                    open.host == place
-                        && open.ask.sequence == reply.sequence
-                        && open.owner == parcel.from.incarnation
+            SendMessage::PermitReply(reply) => {
+                let is_match = |pending: &PendingSend| {
+                    pending.host == index
+                        && pending.permit_request.sequence == reply.sequence
+                        && pending.owner == datagram.from.incarnation
                 };
-                if let Some(at) = self.open.iter().position(waits) {
-                    let open = self.open.swap_remove(at);
-                    self.end_ask(open, Some(&reply));
+                if let Some(at) = self.pending.iter().position(is_match) {
+                    let pending = self.pending.swap_remove(at);
+                    self.finish_permit(pending, Some(&reply));
                 }
             }
         }
     }
 
-    pub fn give_up_asks(&mut self) {
+    pub fn expire_pending(&mut self) {
         let now = self.now;
-        let (late, open): (Vec<OpenSend>, Vec<OpenSend>) =
-            self.open.drain(..).partition(|open| now >= open.until);
-        self.open = open;
-        for ask in late {
-            let host = &mut self.hosts[ask.host];
-            if host.runs(now) {
-                let age = host.age(now);
-                host.silent.record(age, ask.owner);
-                self.end_ask(ask, None);
+        let (late, pending): (Vec<PendingSend>, Vec<PendingSend>) =
+            self.pending.drain(..).partition(|pending| now >= pending.until);
+        self.pending = pending;
+        for permit_request in late {
+            let host = &mut self.hosts[permit_request.host];
+            if host.is_running(now) {
+                let local_now = host.local_time(now);
+                host.silent_owners.record(local_now, permit_request.owner);
+                self.finish_permit(permit_request, None);
             }
         }
     }
 
     /// A question ended; the request goes there, or to its next server.
-    fn end_ask(&mut self, open: OpenSend, reply: Option<&PermitReply>) {
-        let OpenSend { host: place, ask, mut request, .. } = open;
-        let age = self.hosts[place].age(self.now);
-        let tools = &mut self.hosts[place].tools;
+    fn finish_permit(&mut self, pending: PendingSend, reply: Option<&PermitReply>) {
+        let PendingSend { host: index, permit_request, mut request, .. } = pending;
+        let local_now = self.hosts[index].local_time(self.now);
+        let state = &mut self.hosts[index].state;
         let Some(server) = request.servers.pop() else { return };
-        if tools.apply_reply(age, &ask, reply) {
-            return self.fly(place, server, age);
+        if state.apply_reply(local_now, &permit_request, reply) {
+            return self.dispatch(index, server, local_now);
         }
-        self.send_on(place, request);
+        self.route_request(index, request);
     }
 }
--- a/src/bench/worlds/send_parts.rs
+++ b/src/bench/worlds/send_parts.rs
@@ -9,9 +9,9 @@
 /// Length of the windows in which arrivals are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 /// All hosts have to know of a change of a limit after this.
-pub(super) const CONTACT: Duration = Duration::from_secs(3);
-/// A host that was told of a limit counts after this.
-pub(super) const TOLD_TIME: Duration = Duration::from_millis(500);
+pub(super) const PROPAGATION_TIME: Duration = Duration::from_secs(3);
+/// A host that was informed_at of a limit counts after this.
+pub(super) const NOTICE_TIME: Duration = Duration::from_millis(500);
 /// What a server may get of what its limit allows in a window, and requests beyond that.
 const TOLERANCE: f64 = 1.5;
 const SLACK: f64 = 5.0;
@@ -19,19 +19,19 @@
 /// One host of the world of servers' limits.
 pub(super) type SendHost = WorldHost<SendControl>;
 
-/// A question that waits for its owner's reply.
+/// A question that is_match for its owner's reply.
 #[derive(Debug, Clone)]
-pub(super) struct OpenSend {
+pub(super) struct PendingSend {
     pub host: usize,
     pub owner: IncarnationId,
-    pub ask: PermitRequest,
+    pub permit_request: PermitRequest,
     pub until: TimePoint,
-    pub request: WorldRequest,
+    pub request: CallerRequest,
 }
 
 /// One caller's request on its way from server to server.
 #[derive(Debug, Clone)]
-pub(super) struct WorldRequest {
+pub(super) struct CallerRequest {
     pub rank: CallRank,
     /// Servers that it may still be sent to, the next one last.
     pub servers: Vec<usize>,
@@ -39,19 +39,19 @@
 
 /// What hosts send each other.
 #[derive(Debug, Clone)]
-pub(super) enum SendBody {
-    News(Vec<LimitUpdate>),
-    Ask(PermitRequest),
-    Reply(PermitReply),
-    Answered(LimitObservation),
+pub(super) enum SendMessage {
+    Updates(Vec<LimitUpdate>),
+    PermitRequest(PermitRequest),
+    PermitReply(PermitReply),
+    Observation(LimitObservation),
 }
 
 /// A request on its way to a server, or its answer on its way back.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Flight {
+pub(super) struct InFlightCall {
     pub due: TimePoint,
     pub host: usize,
-    pub life: IncarnationId,
+    pub incarnation: IncarnationId,
     pub server: usize,
     /// On the host's own clock.
     pub sent_at: TimePoint,
@@ -65,40 +65,40 @@
     pub domain: usize,
     pub limit: Option<ServerLimit>,
     /// When its answers began to name each limit, or none.
-    named: Vec<(TimePoint, Option<ServerLimit>)>,
+    limit_changes: Vec<(TimePoint, Option<ServerLimit>)>,
     /// When each of them arrived, and from which host.
     arrivals: VecDeque<(TimePoint, usize)>,
-    /// When each life of a host was first told of the limit.
-    told: BTreeMap<IncarnationId, TimePoint>,
+    /// When each incarnation of a host was first informed_at of the limit.
+    informed_at: BTreeMap<IncarnationId, TimePoint>,
     /// Requests that arrived while a limit had stood for long enough, and what it allowed meanwhile.
     pub counted: u64,
     pub allowed: f64,
 }
 
 impl LimitedServer {
-    pub fn new(place: usize, domain: usize) -> Self {
+    pub fn new(index: usize, domain: usize) -> Self {
         Self {
-            key: NameKey::of(&format!("server-{place}")),
+            key: NameKey::of(&format!("server-{index}")),
             domain,
             limit: None,
-            named: Vec::new(),
+            limit_changes: Vec::new(),
             arrivals: VecDeque::new(),
-            told: BTreeMap::new(),
+            informed_at: BTreeMap::new(),
             counted: 0,
             allowed: 0.0,
         }
     }
 
     /// A request arrived; what broke, if it was one too many. All count that came in the window from hosts that were
-    /// told and are not excused, also what they sent before. A window in which none of them came after its host could
-    /// know breaks nothing: more may have come in the last second before the naming than is allowed in four.
-    pub fn arrive(
+    /// informed_at and are not exempt_until, also what they sent before. A window in which none of them came after its host could
+    /// know breaks nothing: extra may have come in the last second before the naming than is allowed in four.
+    pub fn record_arrival(
         &mut self,
         now: TimePoint,
         host: usize,
         is_counted: impl Fn(usize, &BTreeMap<IncarnationId, TimePoint>) -> bool,
     ) -> Option<String> {
-        self.note_limit(now);
+        self.record_limit(now);
         self.arrivals.push_back((now, host));
         while self.arrivals.front().is_some_and(|(at, _)| now.since(*at) >= WINDOW) {
             self.arrivals.pop_front();
@@ -106,35 +106,35 @@
         let limit = self.limit_throughout(now)?;
         self.counted += 1;
         let allowed = limit.per_second().mul_add(TOLERANCE * WINDOW.as_secs_f64(), SLACK);
-        let counted = self.arrivals.iter().filter(|(_, host)| is_counted(*host, &self.told));
+        let counted = self.arrivals.iter().filter(|(_, host)| is_counted(*host, &self.informed_at));
         let counted: Vec<TimePoint> = counted.map(|(at, _)| *at).collect();
-        let (got, knowing_from) = (counted.len(), self.limited_since()? + TOLD_TIME);
-        if counted.last().is_none_or(|last| *last < knowing_from) {
+        let (count, enforced_from) = (counted.len(), self.limited_since()? + NOTICE_TIME);
+        if counted.last().is_none_or(|last| *last < enforced_from) {
             return None;
         }
         let at = now.0 / 1000;
-        (got as f64 > allowed)
-            .then(|| format!("{got} requests in 4 s at {at} ms, {allowed:.1} allowed by {limit}"))
+        (count as f64 > allowed)
+            .then(|| format!("{count} requests in 4 s at {at} ms, {allowed:.1} allowed by {limit}"))
     }
 
-    /// A life of a host is told of the limit.
-    pub fn tell(&mut self, now: TimePoint, life: IncarnationId) {
-        self.told.entry(life).or_insert(now);
+    /// A incarnation of a host is informed_at of the limit.
+    pub fn record_informed(&mut self, now: TimePoint, incarnation: IncarnationId) {
+        self.informed_at.entry(incarnation).or_insert(now);
     }
 
-    fn note_limit(&mut self, now: TimePoint) {
-        let last = self.named.last().and_then(|(_, limit)| *limit);
+    fn record_limit(&mut self, now: TimePoint) {
+        let last = self.limit_changes.last().and_then(|(_, limit)| *limit);
         if last == self.limit {
             return;
         }
         if last.is_none() {
-            self.told.clear();
+            self.informed_at.clear();
         }
-        self.named.push((now, self.limit));
+        self.limit_changes.push((now, self.limit));
     }
 
     /// Time goes on while the limit stands.
-    pub fn allow(&mut self, now: TimePoint, time: Duration) {
+    pub fn accrue_allowance(&mut self, now: TimePoint, time: Duration) {
         if self.limit_throughout(now).is_some() {
             let limit = self.limit.map(ServerLimit::per_second).unwrap_or_default();
             self.allowed += limit * time.as_secs_f64();
@@ -143,15 +143,15 @@
 
     /// When its answers began to name a limit, and have since.
     fn limited_since(&self) -> Option<TimePoint> {
-        let began = self.named.iter().rev().take_while(|(_, limit)| limit.is_some()).last();
+        let began = self.limit_changes.iter().rev().take_while(|(_, limit)| limit.is_some()).last();
         began.map(|(at, _)| *at)
     }
 
     /// The highest limit of the last seconds, if there was one throughout.
     fn limit_throughout(&self, now: TimePoint) -> Option<ServerLimit> {
-        let from = now - CONTACT;
-        let first = self.named.iter().rposition(|(at, _)| *at <= from)?;
-        let limits = self.named[first..].iter().map(|(_, limit)| *limit);
+        let from = now - PROPAGATION_TIME;
+        let first = self.limit_changes.iter().rposition(|(at, _)| *at <= from)?;
+        let limits = self.limit_changes[first..].iter().map(|(_, limit)| *limit);
         let limits: Option<Vec<ServerLimit>> = limits.collect();
         limits?.into_iter().max_by(|one, other| one.per_second().total_cmp(&other.per_second()))
     }
--- a/src/bench/worlds/send_world.rs
+++ b/src/bench/worlds/send_world.rs
@@ -1,8 +1,9 @@
 use super::send_parts::{
-    CONTACT, Flight, LimitedServer, OpenSend, SendBody, SendHost, WorldRequest,
+    CallerRequest, InFlightCall, LimitedServer, PROPAGATION_TIME, PendingSend, SendHost,
+    SendMessage,
 };
-use super::world_host::meet_all;
-use super::world_net::WorldNet;
+use super::world_host::exchange_contacts;
+use super::world_network::WorldNetwork;
 use super::{InjectedBug, WorldReport};
 use crate::keys::TimePoint;
 use crate::server_limits::{CallRank, ServerLimit};
@@ -14,16 +15,16 @@
 pub(super) const DOMAINS: usize = 3;
 const SERVERS: usize = 9;
 const STEP: Duration = Duration::from_millis(10);
-const NEWS_STEPS: u64 = 10;
-const TRAIL_STEPS: u64 = 20;
-const MEET_STEPS: u64 = 20;
+const UPDATE_STEPS: u64 = 10;
+const REPORT_STEPS: u64 = 20;
+const CONTACT_STEPS: u64 = 20;
 /// Steps between two faults, and between two changes of limits, on average.
 const FAULT_STEPS: u32 = 400;
 const CHANGE_STEPS: u32 = 300;
 /// Limits, in requests a second; at hundreds of hosts all are far below one for each host.
 const LIMITS: [&str; 6] = ["0.3", "0.8", "2", "3.3", "5", "8"];
 /// Steps without limits at first.
-const FREE_STEPS: u64 = 500;
+const UNLIMITED_STEPS: u64 = 500;
 
 /// How a world of servers' limits is run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -46,15 +47,15 @@
 pub(super) struct SendWorld {
     pub rng: StdRng,
     pub now: TimePoint,
-    turn: u64,
+    step_count: u64,
     plan: SendPlan,
     pub hosts: Vec<SendHost>,
-    pub net: WorldNet<SendBody>,
+    pub network: WorldNetwork<SendMessage>,
     pub servers: Vec<LimitedServer>,
-    /// Until when faults excuse each host.
-    pub excused_until: Vec<TimePoint>,
-    pub open: Vec<OpenSend>,
-    pub flights: Vec<Flight>,
+    /// Until when faults exempt each host.
+    pub exempt_until: Vec<TimePoint>,
+    pub pending: Vec<PendingSend>,
+    pub calls: Vec<InFlightCall>,
     pub bug: InjectedBug,
     pub report: WorldReport,
 }
@@ -81,14 +82,14 @@
     let mut world = SendWorld {
         rng: StdRng::seed_from_u64(plan.seed),
         now: TimePoint::from_millis(20_000),
-        turn: 0,
+        step_count: 0,
         plan,
-        hosts: (0..hosts).map(|place| SendHost::new(place, hosts, plan.domain_hosts)).collect(),
-        net: WorldNet::new(hosts, plan.domain_hosts),
-        servers: (0..SERVERS).map(|place| LimitedServer::new(place, place % DOMAINS)).collect(),
-        excused_until: vec![TimePoint::default(); hosts],
-        open: Vec::new(),
-        flights: Vec::new(),
+        hosts: (0..hosts).map(|index| SendHost::new(index, hosts, plan.domain_hosts)).collect(),
+        network: WorldNetwork::new(hosts, plan.domain_hosts),
+        servers: (0..SERVERS).map(|index| LimitedServer::new(index, index % DOMAINS)).collect(),
+        exempt_until: vec![TimePoint::default(); hosts],
+        pending: Vec::new(),
+        calls: Vec::new(),
         bug,
         report: WorldReport::default(),
     };
@@ -105,60 +106,60 @@
 impl SendWorld {
     fn step(&mut self) {
         self.now = self.now + STEP;
-        self.turn += 1;
-        if self.turn == FREE_STEPS {
-            self.name_limits();
+        self.step_count += 1;
+        if self.step_count == UNLIMITED_STEPS {
+            self.set_limits();
         }
-        if self.plan.has_faults && self.turn > FREE_STEPS {
-            self.strike();
+        if self.plan.has_faults && self.step_count > UNLIMITED_STEPS {
+            self.inject_faults();
             self.change_limits();
         }
-        self.net.heal(self.now);
-        if self.turn.is_multiple_of(MEET_STEPS) {
-            meet_all(&mut self.hosts, &self.net, self.now);
+        self.network.heal(self.now);
+        if self.step_count.is_multiple_of(CONTACT_STEPS) {
+            exchange_contacts(&mut self.hosts, &self.network, self.now);
         }
-        for parcel in self.net.due(self.now) {
-            self.deliver(parcel);
+        for datagram in self.network.take_due(self.now) {
+            self.deliver_datagram(datagram);
         }
-        self.give_up_asks();
-        self.land_flights();
-        self.arrive();
-        if self.turn.is_multiple_of(NEWS_STEPS) {
-            (0..self.hosts.len()).for_each(|place| self.tell_news(place));
+        self.expire_pending();
+        self.deliver_calls();
+        self.generate_requests();
+        if self.step_count.is_multiple_of(UPDATE_STEPS) {
+            (0..self.hosts.len()).for_each(|index| self.send_updates(index));
         }
-        if self.turn.is_multiple_of(TRAIL_STEPS) {
-            self.tell_trails();
+        if self.step_count.is_multiple_of(REPORT_STEPS) {
+            self.report_sends();
         }
         let now = self.now;
-        self.servers.iter_mut().for_each(|server| server.allow(now, STEP));
+        self.servers.iter_mut().for_each(|server| server.accrue_allowance(now, STEP));
     }
 
-    fn name_limits(&mut self) {
-        for place in 0..self.servers.len() {
-            if self.plan.all_limited || place % 3 == 0 {
-                self.name_limit(place);
+    fn set_limits(&mut self) {
+        for index in 0..self.servers.len() {
+            if self.plan.all_limited || index % 3 == 0 {
+                self.set_limit(index);
             }
         }
     }
 
-    fn name_limit(&mut self, place: usize) {
+    fn set_limit(&mut self, index: usize) {
         let limit = LIMITS[self.rng.random_range(0..LIMITS.len())];
-        self.servers[place].limit = ServerLimit::try_from(limit).ok();
+        self.servers[index].limit = ServerLimit::try_from(limit).ok();
     }
 
     fn change_limits(&mut self) {
         if self.rng.random_range(0..CHANGE_STEPS) != 0 {
             return;
         }
-        let place = self.rng.random_range(0..self.servers.len());
-        if self.servers[place].limit.is_some() && self.rng.random_bool(0.3) {
-            self.servers[place].limit = None;
-        } else if self.servers[place].limit.is_some() || self.plan.all_limited {
-            self.name_limit(place);
+        let index = self.rng.random_range(0..self.servers.len());
+        if self.servers[index].limit.is_some() && self.rng.random_bool(0.3) {
+            self.servers[index].limit = None;
+        } else if self.servers[index].limit.is_some() || self.plan.all_limited {
+            self.set_limit(index);
         }
     }
 
-    fn strike(&mut self) {
+    fn inject_faults(&mut self) {
         if self.rng.random_range(0..FAULT_STEPS) != 0 {
             return;
         }
@@ -167,20 +168,20 @@
         match self.rng.random_range(0..6) {
             0 => {
                 let domain = self.rng.random_range(0..DOMAINS);
-                self.net.cut_domain(domain, until);
+                self.network.isolate_domain(domain, until);
                 let hosts = self.plan.domain_hosts;
-                (domain * hosts..(domain + 1) * hosts).for_each(|place| self.excuse(place, until));
+                (domain * hosts..(domain + 1) * hosts).for_each(|index| self.exempt(index, until));
             }
-            1 => self.each_host(0.33, |world, place| {
-                world.net.cut_host(place, until);
-                world.excuse(place, until);
+            1 => self.for_sampled_hosts(0.33, |world, index| {
+                world.network.isolate_host(index, until);
+                world.exempt(index, until);
             }),
-            2 => self.each_host(0.33, |world, place| {
-                world.hosts[place].suspended_until = until;
-                world.excuse(place, until);
+            2 => self.for_sampled_hosts(0.33, |world, index| {
+                world.hosts[index].suspended_until = until;
+                world.exempt(index, until);
             }),
-            3 => self.each_host(0.2, Self::restart),
-            4 => self.each_host(1.0, Self::restart),
+            3 => self.for_sampled_hosts(0.2, Self::restart),
+            4 => self.for_sampled_hosts(1.0, Self::restart),
             _ => {
                 let host = self.rng.random_range(0..self.hosts.len());
                 self.restart(host);
@@ -188,38 +189,38 @@
         }
     }
 
-    fn each_host(&mut self, part: f64, mut hit: impl FnMut(&mut Self, usize)) {
-        for place in 0..self.hosts.len() {
-            if self.rng.random_bool(part) {
-                hit(self, place);
+    fn for_sampled_hosts(&mut self, probability: f64, mut apply: impl FnMut(&mut Self, usize)) {
+        for index in 0..self.hosts.len() {
+            if self.rng.random_bool(probability) {
+                apply(self, index);
             }
         }
     }
 
-    fn restart(&mut self, place: usize) {
-        let away = Duration::from_millis(self.rng.random_range(300..1500));
-        self.hosts[place].restart(self.now + away);
-        self.excuse(place, self.now + away);
+    fn restart(&mut self, index: usize) {
+        let downtime = Duration::from_millis(self.rng.random_range(300..1500));
+        self.hosts[index].restart(self.now + downtime);
+        self.exempt(index, self.now + downtime);
     }
 
     /// A host that suffers a fault until then counts again when it has been in touch for long enough.
-    fn excuse(&mut self, place: usize, until: TimePoint) {
-        self.excused_until[place] = self.excused_until[place].max(until + CONTACT);
+    fn exempt(&mut self, index: usize, until: TimePoint) {
+        self.exempt_until[index] = self.exempt_until[index].max(until + PROPAGATION_TIME);
     }
 
-    fn arrive(&mut self) {
+    fn generate_requests(&mut self) {
         let expected = f64::from(self.plan.rate) * STEP.as_secs_f64();
-        let more = self.rng.random_bool(expected.fract());
-        for _ in 0..expected as u64 + u64::from(more) {
-            let place = self.rng.random_range(0..self.hosts.len());
-            if !self.hosts[place].runs(self.now) {
+        let extra = self.rng.random_bool(expected.fract());
+        for _ in 0..expected as u64 + u64::from(extra) {
+            let index = self.rng.random_range(0..self.hosts.len());
+            if !self.hosts[index].is_running(self.now) {
                 continue;
             }
             self.report.tried += 1;
             let mut servers: Vec<usize> = (0..self.servers.len()).collect();
             servers.shuffle(&mut self.rng);
             let rank = CallRank::new(0, self.rng.random_range(0..3));
-            self.send_on(place, WorldRequest { rank, servers });
+            self.route_request(index, CallerRequest { rank, servers });
         }
     }
 }
--- a/src/bench/worlds/slot_world.rs
+++ b/src/bench/worlds/slot_world.rs
@@ -11,10 +11,10 @@
 const ENTRIES: usize = 3;
 const STEP: Duration = Duration::from_millis(20);
 const DECODE_STEP: Duration = Duration::from_millis(20);
-const LAG: Duration = Duration::from_millis(400);
+const REPORT_LAG: Duration = Duration::from_millis(400);
 const POLL_STEPS: u64 = 15;
 /// Steps without faults at the end, after which nothing may be held for a request that is gone.
-const HEAL_STEPS: u64 = 800;
+const QUIET_STEPS: u64 = 800;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EnginePhase {
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy)]
 struct EntryAttempt {
     handoff_at: TimePoint,
-    handed: bool,
+    handed_over: bool,
     max_tokens: u32,
 }
 
@@ -40,12 +40,12 @@
 struct SlotWorld {
     rng: StdRng,
     now: TimePoint,
-    turn: u64,
-    book: SlotTable,
-    sweep: OrphanTracker,
+    step_count: u64,
+    slots: SlotTable,
+    orphans: OrphanTracker,
     engine: BTreeMap<AttemptId, EngineEntry>,
     reports: Vec<(TimePoint, Vec<AttemptId>)>,
-    lives: [IncarnationId; ENTRIES],
+    incarnations: [IncarnationId; ENTRIES],
     attempts: BTreeMap<AttemptId, EntryAttempt>,
     serial: u64,
     bug: InjectedBug,
@@ -58,48 +58,48 @@
     let mut world = SlotWorld {
         rng: StdRng::seed_from_u64(seed),
         now: TimePoint::from_millis(1000),
-        turn: 0,
-        book: SlotTable::new(CAPACITY, DECODE_STEP),
-        sweep: OrphanTracker::default(),
+        step_count: 0,
+        slots: SlotTable::new(CAPACITY, DECODE_STEP),
+        orphans: OrphanTracker::default(),
         engine: BTreeMap::new(),
         reports: Vec::new(),
-        lives: [IncarnationId(1), IncarnationId(2), IncarnationId(3)],
+        incarnations: [IncarnationId(1), IncarnationId(2), IncarnationId(3)],
         attempts: BTreeMap::new(),
         serial: 0,
         bug,
         report: WorldReport::default(),
     };
     for _ in 0..steps {
-        world.strike();
+        world.inject_faults();
         if world.rng.random_bool(0.15) {
-            world.ask();
+            world.request_slot();
         }
         world.step();
     }
-    for _ in 0..HEAL_STEPS {
+    for _ in 0..QUIET_STEPS {
         world.step();
     }
-    world.check();
+    world.check_leaks();
     world.report.steps = steps;
     world.report
 }
 
 impl SlotWorld {
-    fn strike(&mut self) {
+    fn inject_faults(&mut self) {
         match self.rng.random_range(0..1000) {
             0..=2 => {
                 // An entry host dies; whatever it gave the engine stays there.
-                let place = self.rng.random_range(0..ENTRIES);
-                let old = self.lives[place];
-                self.lives[place] = IncarnationId(old.0 + ENTRIES as u64);
+                let index = self.rng.random_range(0..ENTRIES);
+                let old = self.incarnations[index];
+                self.incarnations[index] = IncarnationId(old.0 + ENTRIES as u64);
                 self.attempts.retain(|attempt, _| attempt.owner != old);
             }
             3..=4 => {
                 // The owner dies: the next one knows what living hosts claim, and nothing else.
-                self.book = SlotTable::new(CAPACITY, DECODE_STEP);
-                self.sweep = OrphanTracker::default();
+                self.slots = SlotTable::new(CAPACITY, DECODE_STEP);
+                self.orphans = OrphanTracker::default();
                 for (attempt, entry) in &self.attempts {
-                    self.book.start(self.now, *attempt, entry.max_tokens);
+                    self.slots.start(self.now, *attempt, entry.max_tokens);
                 }
             }
             5 => self.engine.clear(),
@@ -108,28 +108,29 @@
         self.report.faults += 1;
     }
 
-    fn ask(&mut self) {
-        let owner = self.lives[self.rng.random_range(0..ENTRIES)];
+    fn request_slot(&mut self) {
+        let owner = self.incarnations[self.rng.random_range(0..ENTRIES)];
         self.serial += 1;
         let attempt = AttemptId { owner, serial: self.serial };
         let max_tokens = self.rng.random_range(5..80);
         self.report.tried += 1;
         let earliest = self.now + Duration::from_millis(self.rng.random_range(0..800));
         let latest = earliest + Duration::from_millis(600);
-        if let Some(handoff_at) = self.book.hold(self.now, attempt, earliest, latest, max_tokens) {
-            self.attempts.insert(attempt, EntryAttempt { handoff_at, handed: false, max_tokens });
+        if let Some(handoff_at) = self.slots.hold(self.now, attempt, earliest, latest, max_tokens) {
+            self.attempts
+                .insert(attempt, EntryAttempt { handoff_at, handed_over: false, max_tokens });
         }
     }
 
     fn step(&mut self) {
         self.now = self.now + STEP;
-        self.turn += 1;
+        self.step_count += 1;
         self.hand_over();
-        self.work_engine();
+        self.step_engine();
         self.end_attempts();
         self.reports.push((self.now, self.engine.keys().copied().collect()));
-        if self.turn.is_multiple_of(POLL_STEPS) {
-            self.poll();
+        if self.step_count.is_multiple_of(POLL_STEPS) {
+            self.poll_reports();
         }
     }
 
@@ -138,23 +139,23 @@
         let due: Vec<AttemptId> = self
             .attempts
             .iter()
-            .filter(|(_, entry)| !entry.handed && entry.handoff_at <= now)
+            .filter(|(_, entry)| !entry.handed_over && entry.handoff_at <= now)
             .map(|(attempt, _)| *attempt)
             .collect();
         for attempt in due {
             let Some(entry) = self.attempts.get_mut(&attempt) else { continue };
-            entry.handed = true;
+            entry.handed_over = true;
             let tokens_left = self.rng.random_range(1..=entry.max_tokens);
             let phase = EnginePhase::Waiting;
             self.engine.insert(attempt, EngineEntry { phase, tokens_left });
             // The news of the start is lost now and then.
             if self.rng.random_bool(0.9) {
-                self.book.start(now, attempt, entry.max_tokens);
+                self.slots.start(now, attempt, entry.max_tokens);
             }
         }
     }
 
-    fn work_engine(&mut self) {
+    fn step_engine(&mut self) {
         let running =
             self.engine.values().filter(|entry| entry.phase != EnginePhase::Waiting).count();
         let mut free = CAPACITY.saturating_sub(running);
@@ -185,7 +186,7 @@
                     .engine
                     .get(attempt)
                     .is_some_and(|engine| engine.phase == EnginePhase::Finished);
-                entry.handed && (gone || read)
+                entry.handed_over && (gone || read)
             })
             .map(|(attempt, _)| *attempt)
             .collect();
@@ -197,44 +198,44 @@
                 self.engine.remove(&attempt);
             }
             if self.rng.random_bool(0.9) {
-                self.book.release(attempt, Some(10));
+                self.slots.release(attempt, Some(10));
             }
         }
     }
 
-    fn poll(&mut self) {
+    fn poll_reports(&mut self) {
         if self.bug == InjectedBug::IgnoreReports {
             return;
         }
         let now = self.now;
-        self.reports.retain(|(at, _)| now.since(*at) < LAG * 2);
+        self.reports.retain(|(at, _)| now.since(*at) < REPORT_LAG * 2);
         let Some((as_of, held)) =
-            self.reports.iter().rev().find(|(at, _)| now.since(*at) >= LAG).cloned()
+            self.reports.iter().rev().find(|(at, _)| now.since(*at) >= REPORT_LAG).cloned()
         else {
             return;
         };
-        let strays = self.book.reconcile(now, as_of, &held);
-        self.sweep.update_untracked(now, &strays);
-        for attempt in self.sweep.attempts_to_query() {
+        let untracked = self.slots.reconcile(now, as_of, &held);
+        self.orphans.update_untracked(now, &untracked);
+        for attempt in self.orphans.attempts_to_query() {
             if self.attempts.contains_key(&attempt) {
-                self.sweep.record_claimed(attempt);
-                self.book.confirm(now, attempt, 64);
+                self.orphans.record_claimed(attempt);
+                self.slots.confirm(now, attempt, 64);
             } else {
-                self.sweep.mark_disowned(attempt);
+                self.orphans.mark_disowned(attempt);
             }
         }
         if self.bug == InjectedBug::KeepOrphans {
             return;
         }
-        for attempt in self.sweep.take_due_cancellations(now) {
-            // Cancels are lost now and then; the sweep goes on until a report confirms.
+        for attempt in self.orphans.take_due_cancellations(now) {
+            // Cancels are lost now and then; the orphans goes on until a report confirms.
             if self.rng.random_bool(0.7) {
                 self.engine.remove(&attempt);
             }
         }
     }
 
-    fn check(&mut self) {
+    fn check_leaks(&mut self) {
         let gone: BTreeSet<AttemptId> = self
             .engine
             .keys()
@@ -245,7 +246,7 @@
             let line = format!("the engine holds {} attempts of gone requests", gone.len());
             self.report.record_violation(line);
         }
-        let used = self.book.used();
+        let used = self.slots.used();
         if used > self.attempts.len() {
             let line = format!("the book holds {used} slots for {}", self.attempts.len());
             self.report.record_violation(line);
--- a/src/bench/worlds/stream_world.rs
+++ b/src/bench/worlds/stream_world.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng};
 
 #[derive(Debug, Clone, Copy)]
-struct FlyingToken {
+struct InFlightToken {
     attempt: AttemptId,
     index: u32,
     due: u64,
@@ -25,40 +25,40 @@
 fn run_answer(rng: &mut StdRng, report: &mut WorldReport, steps: u64, bug: InjectedBug) {
     let total = rng.random_range(1..60);
     let mut ledger = TokenLedger::new();
-    let mut flying: Vec<FlyingToken> = Vec::new();
+    let mut in_flight: Vec<InFlightToken> = Vec::new();
     let mut written: Vec<u32> = Vec::new();
     let mut attempt = AttemptId { owner: IncarnationId(1), serial: 0 };
     ledger.switch_to(attempt);
-    let mut producing = 0;
+    let mut produced = 0;
     let mut clock = 0;
     while report.steps < steps {
         report.steps += 1;
         clock += 1;
-        if producing < total {
+        if produced < total {
             let due = clock + rng.random_range(1..4);
-            flying.push(FlyingToken { attempt, index: producing, due });
+            in_flight.push(InFlightToken { attempt, index: produced, due });
             if rng.random_bool(0.05) {
-                flying.push(FlyingToken { attempt, index: producing, due: due + 3 });
+                in_flight.push(InFlightToken { attempt, index: produced, due: due + 3 });
                 report.faults += 1;
             }
-            producing += 1;
+            produced += 1;
         }
         if rng.random_bool(0.04) {
             // The attempt fails; its tokens in flight arrive late, behind the new attempt's.
             report.faults += 1;
-            for token in flying.iter_mut().filter(|token| token.attempt == attempt) {
+            for token in in_flight.iter_mut().filter(|token| token.attempt == attempt) {
                 token.due += rng.random_range(0..20);
             }
             attempt.serial += 1;
             ledger.switch_to(attempt);
-            producing = ledger.next_index();
+            produced = ledger.next_index();
             if bug == InjectedBug::CountOpenAsToken {
-                producing += 1;
+                produced += 1;
             }
         }
-        flying.sort_by_key(|token| (token.due, token.index));
-        while flying.first().is_some_and(|token| token.due <= clock) {
-            let token = flying.remove(0);
+        in_flight.sort_by_key(|token| (token.due, token.index));
+        while in_flight.first().is_some_and(|token| token.due <= clock) {
+            let token = in_flight.remove(0);
             match ledger.admit(token.attempt, token.index) {
                 TokenVerdict::Write => written.push(token.index),
                 TokenVerdict::Stale if bug == InjectedBug::AcceptStaleTokens => {
@@ -69,7 +69,7 @@
                     if bug == InjectedBug::CountOpenAsToken {
                         written.push(token.index);
                     }
-                    producing = producing.min(ledger.next_index());
+                    produced = produced.min(ledger.next_index());
                 }
                 TokenVerdict::Gap | TokenVerdict::Duplicate | TokenVerdict::Stale => {}
             }
@@ -78,7 +78,7 @@
             break;
         }
     }
-    let in_order = written.iter().enumerate().all(|(place, index)| place as u32 == *index);
+    let in_order = written.iter().enumerate().all(|(position, index)| position as u32 == *index);
     let whole = ledger.finish(attempt, total);
     if !in_order || ledger.finish(attempt, total) {
         report.record_violation(format!("wrote {written:?} of {total}"));
--- /dev/null
+++ b/src/bench/worlds/world_network.rs
@@ -0,0 +1,70 @@
+use crate::keys::TimePoint;
+use crate::membership::MemberUpdate;
+use std::collections::BTreeMap;
+
+/// A datagram on its way.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct QueuedDatagram<B> {
+    pub due: TimePoint,
+    pub from: MemberUpdate,
+    pub to: MemberUpdate,
+    pub body: B,
+}
+
+/// Links between the hosts, and the datagrams on them.
+#[derive(Debug)]
+pub(super) struct WorldNetwork<B> {
+    domain_hosts: usize,
+    isolated_domains: BTreeMap<usize, TimePoint>,
+    isolated_hosts: BTreeMap<usize, TimePoint>,
+    queued: Vec<QueuedDatagram<B>>,
+}
+
+impl<B> WorldNetwork<B> {
+    /// A network of hosts in domains of `domain_hosts` each.
+    pub fn new(hosts: usize, domain_hosts: usize) -> Self {
+        Self {
+            domain_hosts,
+            isolated_domains: BTreeMap::new(),
+            isolated_hosts: BTreeMap::new(),
+            queued: Vec::with_capacity(hosts),
+        }
+    }
+
+    /// Cuts a domain off from the others.
+    pub fn isolate_domain(&mut self, domain: usize, until: TimePoint) {
+        self.isolated_domains.insert(domain, until);
+    }
+
+    /// Cuts a host off from all others.
+    pub fn isolate_host(&mut self, index: usize, until: TimePoint) {
+        self.isolated_hosts.insert(index, until);
+    }
+
+    /// Ends cuts whose time has come.
+    pub fn heal(&mut self, now: TimePoint) {
+        self.isolated_domains.retain(|_, until| now < *until);
+        self.isolated_hosts.retain(|_, until| now < *until);
+    }
+
+    /// Whether two hosts reach each other.
+    pub fn is_connected(&self, from: usize, to: usize) -> bool {
+        let (one, other) = (from / self.domain_hosts, to / self.domain_hosts);
+        let domain_isolated = |domain: usize| self.isolated_domains.contains_key(&domain);
+        let host_isolated = |index: usize| self.isolated_hosts.contains_key(&index);
+        let is_partitioned = one != other && (domain_isolated(one) || domain_isolated(other));
+        !(is_partitioned || host_isolated(from) || host_isolated(to))
+    }
+
+    /// Sends a datagram.
+    pub fn send(&mut self, datagram: QueuedDatagram<B>) {
+        self.queued.push(datagram);
+    }
+
+    /// Datagrams that arrive by now.
+    pub fn take_due(&mut self, now: TimePoint) -> Vec<QueuedDatagram<B>> {
+        let (due, later) = self.queued.drain(..).partition(|datagram| datagram.due <= now);
+        self.queued = later;
+        due
+    }
+}
