--- a/src/bench/load_summary.rs
+++ b/src/bench/load_summary.rs
@@ -177,9 +177,9 @@
     }
     let useful: u64 = request_ids(&|call| call.result == CallResult::Complete && !call.disconnects)
         .into_iter()
-        .filter_map(|request| by_request.get(request).map(|(_, last_micros)| *last_micros))
+        .filter_map(|request| by_request.get(request).map(|work| work.1))
         .sum();
-    let all: u64 = by_request.values().map(|(all_micros, _)| *all_micros).sum();
+    let all: u64 = by_request.values().map(|work| work.0).sum();
     1.0 - useful as f64 / all.max(1) as f64
 }
 
