--- a/src/bench/links/host_link.rs
+++ b/src/bench/links/host_link.rs
@@ -6,62 +6,62 @@
 use std::sync::{Arc, Mutex};
 use tokio::net::{TcpListener, UdpSocket};
 
-/// Longer than any datagram between daemons.
-const LONGEST_DATAGRAM: usize = 8 << 10;
+/// Receive buffer size; exceeds every datagram that daemons send.
+const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 
-/// Cuts that part a link between hosts.
-const BETWEEN_HOSTS: [PartitionScope; 2] = [PartitionScope::All, PartitionScope::Hosts];
+/// Partitions of these scopes block a link between hosts.
+const HOST_LINK_SCOPES: [PartitionScope; 2] = [PartitionScope::All, PartitionScope::Hosts];
 
-/// Sockets of all links, by where the daemon behind each sends its datagrams from.
+/// The datagram sockets of all links, keyed by the address from which the daemon behind each link sends.
 #[derive(Debug, Clone, Default)]
 pub struct LinkSockets {
     sockets: Arc<Mutex<HashMap<SocketAddr, Arc<UdpSocket>>>>,
-    /// Machines between which no link passes anything.
+    /// Partitioned machines, whose traffic the links drop.
     pub partitions: NetworkPartitions,
 }
 
-/// The link before one daemon, at the address that it advertises.
+/// The link in front of one daemon, at the daemon's advertised address.
 #[derive(Debug)]
 pub struct HostLink {
-    /// Its connections.
+    /// The proxy for TCP connections.
     pub connections: LinkProxy,
 }
 
 impl HostLink {
-    /// Opens the link to the daemon that listens at `target`.
+    /// Opens a link at `advertised` to the daemon that listens at `target`.
     ///
     /// # Errors
     /// If the advertised address is in use.
     pub async fn open(
         advertised: SocketAddr,
         target: SocketAddr,
-        all: &LinkSockets,
+        links: &LinkSockets,
     ) -> Result<Self> {
         let listener = TcpListener::bind(advertised).await?;
         let connections =
-            LinkProxy::listen(listener, target, all.partitions.clone(), &BETWEEN_HOSTS)?;
+            LinkProxy::listen(listener, target, links.partitions.clone(), &HOST_LINK_SCOPES)?;
         let socket = Arc::new(UdpSocket::bind(advertised).await?);
-        lock(&all.sockets).insert(target, Arc::clone(&socket));
-        tokio::spawn(relay(socket, target, all.clone()));
+        lock(&links.sockets).insert(target, Arc::clone(&socket));
+        tokio::spawn(relay(socket, target, links.clone()));
         Ok(Self { connections })
     }
 }
 
-/// Passes datagrams on to a daemon, each from the advertised address of its sender.
-async fn relay(socket: Arc<UdpSocket>, target: SocketAddr, all: LinkSockets) {
-    let mut buffer = vec![0; LONGEST_DATAGRAM];
+/// Forwards datagrams to a daemon, each from the advertised address of its sender.
+async fn relay(socket: Arc<UdpSocket>, target: SocketAddr, links: LinkSockets) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // An earlier datagram to a daemon that is down may surface here as an error.
+        // The error of an earlier send to a daemon that is down can surface here.
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
-        if all.partitions.parts([from.ip(), target.ip()], &BETWEEN_HOSTS) {
+        if links.partitions.is_blocked([from.ip(), target.ip()], &HOST_LINK_SCOPES) {
             continue;
         }
-        let sender = lock(&all.sockets).get(&from).cloned();
-        if let Some(sender) = sender {
-            // A lost datagram is part of every network.
-            drop(sender.send_to(&buffer[..length], target).await);
+        let sender_socket = lock(&links.sockets).get(&from).cloned();
+        if let Some(sender_socket) = sender_socket {
+            // Datagrams may be lost, so a failed send is ignored.
+            drop(sender_socket.send_to(&buffer[..length], target).await);
         }
     }
 }
--- a/src/bench/links/link_proxy.rs
+++ b/src/bench/links/link_proxy.rs
@@ -9,42 +9,42 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::watch;
 
-const ANYWHERE: &str = "127.0.0.1:0";
+const ANY_PORT: &str = "127.0.0.1:0";
 const CHUNK_BYTES: usize = 16 << 10;
-/// What all connections through a narrow link carry together: 10 Mbit/s.
+/// Bandwidth that all connections of a proxy share in [`ProxyMode::Narrow`]: 10 Mbit/s.
 const NARROW_BYTES_PER_S: f64 = 1_250_000.0;
 
-/// What a proxy does with the bytes that pass through it.
+/// How a proxy handles the bytes of its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ProxyMode {
-    /// Passes them on.
+    /// Forwards them.
     #[default]
     Pass,
-    /// Passes them on late.
+    /// Forwards them after a delay.
     Delay(Duration),
-    /// Passes them on as fast as a small host's link does.
+    /// Forwards them at the bandwidth of a small host's link.
     Narrow,
-    /// Passes nothing on, either way.
+    /// Forwards nothing in either direction until the mode is [`ProxyMode::Pass`] again.
     Silent,
-    /// Passes nothing on towards the server; answers still come.
+    /// Forwards nothing to the server until the mode is [`ProxyMode::Pass`] again, but still forwards responses.
     DeafServer,
-    /// Breaks connections off as soon as they say something.
+    /// Resets a connection as soon as bytes arrive on it.
     Reset,
 }
 
-/// A loopback proxy before one stand-in or daemon.
+/// A loopback proxy in front of one stand-in or daemon.
 #[derive(Debug)]
 pub struct LinkProxy {
-    /// Where it listens.
+    /// The address that the proxy listens on.
     pub address: SocketAddr,
     mode: watch::Sender<ProxyMode>,
-    /// Counts how often the open connections fell silent.
-    silences: watch::Sender<u64>,
-    source: Arc<Mutex<Option<IpAddr>>>,
+    /// Number of calls of [`LinkProxy::stall_open_connections`].
+    stalls: watch::Sender<u64>,
+    last_source: Arc<Mutex<Option<IpAddr>>>,
 }
 
 impl LinkProxy {
-    /// A proxy before `target` on a free port.
+    /// Starts a proxy in front of `target` on a free port.
     ///
     /// # Errors
     /// If no port can be bound.
@@ -52,135 +52,138 @@
         Self::start_with(target, NetworkPartitions::default()).await
     }
 
-    /// The same among machines of which some are cut off now and then.
+    /// Starts a proxy in front of `target` on a free port whose connections `partitions` can block.
     ///
     /// # Errors
     /// If no port can be bound.
-    pub async fn start_with(target: SocketAddr, cuts: NetworkPartitions) -> Result<Self> {
-        Self::listen(TcpListener::bind(ANYWHERE).await?, target, cuts, &[PartitionScope::All])
+    pub async fn start_with(target: SocketAddr, partitions: NetworkPartitions) -> Result<Self> {
+        Self::listen(TcpListener::bind(ANY_PORT).await?, target, partitions, &[PartitionScope::All])
     }
 
-    /// Takes the connections of a listener; cuts of `scopes` part them.
+    /// Proxies the connections of a listener; partitions of `scopes` block them.
     ///
     /// # Errors
-    /// If the listener has no address.
+    /// If the listener's address cannot be read.
     pub fn listen(
         listener: TcpListener,
         target: SocketAddr,
-        cuts: NetworkPartitions,
+        partitions: NetworkPartitions,
         scopes: &'static [PartitionScope],
     ) -> Result<Self> {
         let address = listener.local_addr()?;
         let (mode, modes) = watch::channel(ProxyMode::Pass);
-        let (silences, heard) = watch::channel(0);
-        let wire = Arc::new(tokio::sync::Mutex::new(()));
-        let source = Arc::default();
-        let last = Arc::clone(&source);
+        let (stalls, stall_changes) = watch::channel(0);
+        let bandwidth_lock = Arc::new(tokio::sync::Mutex::new(()));
+        let last_source = Arc::default();
+        let latest_source = Arc::clone(&last_source);
         tokio::spawn(async move {
-            while let Ok((near, from)) = listener.accept().await {
-                *lock(&last) = Some(from.ip());
-                let mut silences = heard.clone();
-                silences.borrow_and_update();
-                let wire = Arc::clone(&wire);
-                let cuts = cuts.clone();
+            while let Ok((client, from)) = listener.accept().await {
+                *lock(&latest_source) = Some(from.ip());
+                let mut stalls = stall_changes.clone();
+                stalls.borrow_and_update();
+                let bandwidth_lock = Arc::clone(&bandwidth_lock);
+                let partitions = partitions.clone();
                 let modes = modes.clone();
                 tokio::spawn(async move {
-                    let parted = cuts.parted([from.ip(), target.ip()], scopes);
-                    carry(near, target, modes, silences, parted, wire).await;
+                    let blocked = partitions.blocked([from.ip(), target.ip()], scopes);
+                    relay(client, target, modes, stalls, blocked, bandwidth_lock).await;
                 });
             }
         });
-        Ok(Self { address, mode, silences, source })
+        Ok(Self { address, mode, stalls, last_source })
     }
 
-    /// The machine from which its last connection came.
+    /// The machine that opened the latest connection.
     pub fn last_source(&self) -> Option<IpAddr> {
-        *lock(&self.source)
+        *lock(&self.last_source)
     }
 
-    /// Sets what happens to the bytes of all connections.
+    /// Sets the mode of all connections, open and new.
     pub fn set(&self, mode: ProxyMode) {
         self.mode.send_replace(mode);
     }
 
-    /// The connections that are open now pass nothing on any more, and never end; new ones work.
+    /// Stops forwarding on the open connections but does not close them; new connections work.
     pub fn stall_open_connections(&self) {
-        self.silences.send_modify(|count| *count += 1);
+        self.stalls.send_modify(|count| *count += 1);
     }
 }
 
-async fn carry(
-    near: TcpStream,
+async fn relay(
+    client: TcpStream,
     target: SocketAddr,
     modes: watch::Receiver<ProxyMode>,
-    mut silences: watch::Receiver<u64>,
-    parted: impl Future<Output = ()>,
-    wire: Arc<tokio::sync::Mutex<()>>,
+    mut stalls: watch::Receiver<u64>,
+    blocked: impl Future<Output = ()>,
+    bandwidth_lock: Arc<tokio::sync::Mutex<()>>,
 ) {
-    tokio::pin!(parted);
-    // One that begins in a cut gets nowhere.
-    let far = tokio::select! {
+    tokio::pin!(blocked);
+    // A connection that is opened during a partition is held open without a connection to the target.
+    let server = tokio::select! {
         biased;
-        () = &mut parted => return stay_open(silences).await,
+        () = &mut blocked => return hold_open(stalls).await,
         connected = TcpStream::connect(target) => connected,
     };
-    let Ok(far) = far else {
+    let Ok(server) = server else {
         return;
     };
-    if near.set_nodelay(true).and_then(|()| far.set_nodelay(true)).is_err() {
+    if client.set_nodelay(true).and_then(|()| server.set_nodelay(true)).is_err() {
         return;
     }
-    let (mut near_read, mut near_write) = near.into_split();
-    let (mut far_read, mut far_write) = far.into_split();
+    let (mut client_read, mut client_write) = client.into_split();
+    let (mut server_read, mut server_write) = server.into_split();
     let end = {
-        let up = pump(&mut near_read, &mut far_write, modes.clone(), &wire, true);
-        let down = pump(&mut far_read, &mut near_write, modes, &wire, false);
+        let up = forward(&mut client_read, &mut server_write, modes.clone(), &bandwidth_lock, true);
+        let down = forward(&mut server_read, &mut client_write, modes, &bandwidth_lock, false);
         tokio::select! {
-            end = up => CarryEnd::Up(end),
-            end = down => CarryEnd::Down(end),
-            changed = silences.changed() => changed.map_or(CarryEnd::ProxyGone, |()| CarryEnd::Dead),
-            // Neither end hears of it, whatever becomes of the cut.
-            () = &mut parted => CarryEnd::Dead,
+            end = up => RelayEnd::Up(end),
+            end = down => RelayEnd::Down(end),
+            changed = stalls.changed() => changed.map_or(RelayEnd::ProxyGone, |()| RelayEnd::Dead),
+            // Neither end is notified, and the connection stays dead after the partition has ended.
+            () = &mut blocked => RelayEnd::Dead,
         }
     };
-    // When one way ends, both sockets are dropped: that breaks the other way off.
+    // Once one direction has ended, both sockets are dropped, which ends the other direction.
     match end {
-        CarryEnd::Up(PumpEnd::Reset) => reset(far_write),
-        CarryEnd::Down(PumpEnd::Reset) => reset(near_write),
-        // Both sockets stay open until the proxy is gone. Neither way is under way any more, or it might hold the wire.
-        CarryEnd::Dead => stay_open(silences).await,
-        CarryEnd::Up(PumpEnd::Closed) | CarryEnd::Down(PumpEnd::Closed) | CarryEnd::ProxyGone => {}
+        RelayEnd::Up(ForwardEnd::Reset) => reset(server_write),
+        RelayEnd::Down(ForwardEnd::Reset) => reset(client_write),
+        // Both sockets stay open until the proxy is dropped. Both `forward` futures were dropped above: a pending one
+        // could keep `bandwidth_lock` held.
+        RelayEnd::Dead => hold_open(stalls).await,
+        RelayEnd::Up(ForwardEnd::Closed)
+        | RelayEnd::Down(ForwardEnd::Closed)
+        | RelayEnd::ProxyGone => {}
     }
 }
 
-/// Waits until the proxy is gone.
-async fn stay_open(mut silences: watch::Receiver<u64>) {
-    while silences.changed().await.is_ok() {}
+/// Waits until the proxy is dropped.
+async fn hold_open(mut stalls: watch::Receiver<u64>) {
+    while stalls.changed().await.is_ok() {}
 }
 
-/// What ends a connection through a proxy.
+/// Why the relaying of a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum CarryEnd {
-    /// The way towards the server ended.
-    Up(PumpEnd),
-    /// The way back did.
-    Down(PumpEnd),
-    /// It fell silent, or its machines were parted.
+enum RelayEnd {
+    /// The direction to the server ended.
+    Up(ForwardEnd),
+    /// The direction to the client ended.
+    Down(ForwardEnd),
+    /// The connection was stalled, or a partition blocked it.
     Dead,
-    /// The proxy is gone.
+    /// The proxy was dropped.
     ProxyGone,
 }
 
-/// How one way of a connection ended.
+/// How one direction of a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum PumpEnd {
-    /// It was closed.
+enum ForwardEnd {
+    /// The connection was closed.
     Closed,
-    /// It is to be reset.
+    /// The connection has to be reset.
     Reset,
 }
 
-/// Opens a connection from the address of a machine, so that links further on know whose it is.
+/// Opens a connection from the address of a machine, so that later links can identify the machine.
 pub(in crate::bench) async fn connect_as(
     machine: IpAddr,
     target: SocketAddr,
@@ -190,50 +193,50 @@
     socket.connect(target).await
 }
 
-async fn pump(
+async fn forward(
     from: &mut OwnedReadHalf,
     to: &mut OwnedWriteHalf,
     mut modes: watch::Receiver<ProxyMode>,
-    wire: &tokio::sync::Mutex<()>,
+    bandwidth_lock: &tokio::sync::Mutex<()>,
     towards_server: bool,
-) -> PumpEnd {
+) -> ForwardEnd {
     let mut buffer = vec![0; CHUNK_BYTES];
     loop {
         let read = match from.read(&mut buffer).await {
-            Ok(0) => return PumpEnd::Closed,
+            Ok(0) => return ForwardEnd::Closed,
             Ok(read) => read,
-            Err(_) => return PumpEnd::Reset,
+            Err(_) => return ForwardEnd::Reset,
         };
         let mode = *modes.borrow();
         match mode {
             ProxyMode::Pass => {}
-            ProxyMode::Delay(time) => tokio::time::sleep(time).await,
+            ProxyMode::Delay(delay) => tokio::time::sleep(delay).await,
             ProxyMode::Narrow => {
-                let _turn = wire.lock().await;
-                tokio::time::sleep(narrow_time(read)).await;
+                let _guard = bandwidth_lock.lock().await;
+                tokio::time::sleep(transmit_time(read)).await;
             }
-            ProxyMode::Reset => return PumpEnd::Reset,
+            ProxyMode::Reset => return ForwardEnd::Reset,
             ProxyMode::DeafServer if !towards_server => {}
             ProxyMode::Silent | ProxyMode::DeafServer => {
-                // Held until the link heals; then the bytes arrive late.
-                let healed = modes.wait_for(|mode| *mode == ProxyMode::Pass).await;
-                if healed.is_err() {
-                    return PumpEnd::Closed;
+                // Delays the bytes until the mode is `Pass` again.
+                let recovered = modes.wait_for(|mode| *mode == ProxyMode::Pass).await;
+                if recovered.is_err() {
+                    return ForwardEnd::Closed;
                 }
             }
         }
         if to.write_all(&buffer[..read]).await.is_err() {
-            return PumpEnd::Closed;
+            return ForwardEnd::Closed;
         }
     }
 }
 
-fn narrow_time(bytes: usize) -> Duration {
+fn transmit_time(bytes: usize) -> Duration {
     Duration::from_secs_f64(bytes as f64 / NARROW_BYTES_PER_S)
 }
 
-/// Resets a connection whose other half is dropped next. A half that is dropped closes it first, and an answer
-/// without a length would look whole.
+/// Resets a connection whose read half is dropped next. Without this, dropping the write half would close the
+/// connection normally, and a truncated response without a length would look complete.
 pub(in crate::bench) fn reset(to: OwnedWriteHalf) {
     if let Err(error) = to.as_ref().set_zero_linger() {
         log::warn!("event=link_not_reset cause=\"{error}\"");
--- a/src/bench/links/mod.rs
+++ b/src/bench/links/mod.rs
@@ -1,7 +1,7 @@
-//! Loopback links before stand-ins and daemons, with the faults of real ones.
+//! Loopback proxies in front of stand-ins and daemons that inject network faults.
 //!
-//! Whatever other daemons send to one of them passes through its [`HostLink`], connections and datagrams.
-//! [`NetworkPartitions`] tells links which machines are cut off from all others.
+//! All traffic from other daemons to a daemon, connections and datagrams, passes through its [`HostLink`].
+//! [`NetworkPartitions`] holds the machines that are partitioned from the others.
 
 mod host_link;
 mod link_proxy;
--- a/src/bench/links/network_partitions.rs
+++ b/src/bench/links/network_partitions.rs
@@ -2,77 +2,77 @@
 use std::net::IpAddr;
 use tokio::sync::watch;
 
-/// What a machine that is cut off no longer reaches, and is no longer reached by.
+/// Which traffic to and from a partitioned machine is blocked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PartitionScope {
-    /// Anything.
+    /// All traffic.
     All,
-    /// Other hosts; the store and the servers still.
+    /// Traffic with other hosts; the store and the servers remain reachable.
     Hosts,
 }
 
-/// Machines that are cut off, by their addresses.
+/// The machines that are partitioned from the network, by IP address.
 ///
-/// Whoever puts programs on machines gives each an address of its own, from which all of its connections come.
+/// Each machine needs its own IP address, from which the programs on it open all of their connections.
 #[derive(Debug, Clone)]
 pub struct NetworkPartitions {
-    /// By how many cuts each of them is cut off.
-    cuts: watch::Sender<BTreeMap<(IpAddr, PartitionScope), usize>>,
+    /// Number of active partitions of each machine and scope.
+    active: watch::Sender<BTreeMap<(IpAddr, PartitionScope), usize>>,
 }
 
 impl Default for NetworkPartitions {
     fn default() -> Self {
-        Self { cuts: watch::Sender::new(BTreeMap::new()) }
+        Self { active: watch::Sender::new(BTreeMap::new()) }
     }
 }
 
 impl NetworkPartitions {
-    /// Cuts machines off. Their open connections are dead from now on; a machine is back when each of its cuts has
-    /// ended.
+    /// Partitions machines. Open connections that the partition blocks stay dead even after it has ended. A machine is
+    /// reachable on new connections once all of its partitions have ended.
     pub fn begin(&self, machines: &[IpAddr], scope: PartitionScope) {
-        self.cuts.send_modify(|cuts| {
+        self.active.send_modify(|active| {
             for machine in machines {
-                *cuts.entry((*machine, scope)).or_default() += 1;
+                *active.entry((*machine, scope)).or_default() += 1;
             }
         });
     }
 
-    /// Ends a cut.
+    /// Ends one partition of each machine.
     pub fn end(&self, machines: &[IpAddr], scope: PartitionScope) {
-        self.cuts.send_modify(|cuts| {
+        self.active.send_modify(|active| {
             for machine in machines {
-                if let Some(count) = cuts.get_mut(&(*machine, scope)) {
+                if let Some(count) = active.get_mut(&(*machine, scope)) {
                     *count = count.saturating_sub(1);
                 }
             }
-            cuts.retain(|_, count| *count > 0);
+            active.retain(|_, count| *count > 0);
         });
     }
 
-    /// Ends all cuts.
+    /// Ends all partitions.
     pub fn end_all(&self) {
-        self.cuts.send_modify(BTreeMap::clear);
+        self.active.send_modify(BTreeMap::clear);
     }
 
-    /// Whether nothing passes now on a link that cuts of these scopes part, between machines at its ends.
-    pub fn parts(&self, ends: [IpAddr; 2], scopes: &[PartitionScope]) -> bool {
-        is_parted(&self.cuts.borrow(), ends, scopes)
+    /// Whether an active partition of one of `scopes` blocks a link between the machines `ends`.
+    pub fn is_blocked(&self, ends: [IpAddr; 2], scopes: &[PartitionScope]) -> bool {
+        is_any_partitioned(&self.active.borrow(), ends, scopes)
     }
 
-    /// Waits until nothing passes there.
-    pub async fn parted(&self, ends: [IpAddr; 2], scopes: &[PartitionScope]) {
-        let mut news = self.cuts.subscribe();
-        // The sender of these news is this very value.
-        if news.wait_for(|cuts| is_parted(cuts, ends, scopes)).await.is_err() {
+    /// Waits until a partition of one of `scopes` blocks the link between the machines `ends`.
+    pub async fn blocked(&self, ends: [IpAddr; 2], scopes: &[PartitionScope]) {
+        let mut changes = self.active.subscribe();
+        // `self` owns the sender, so the channel cannot close during this wait.
+        if changes.wait_for(|active| is_any_partitioned(active, ends, scopes)).await.is_err() {
             std::future::pending().await
         }
     }
 }
 
-fn is_parted(
-    cuts: &BTreeMap<(IpAddr, PartitionScope), usize>,
+fn is_any_partitioned(
+    active: &BTreeMap<(IpAddr, PartitionScope), usize>,
     ends: [IpAddr; 2],
     scopes: &[PartitionScope],
 ) -> bool {
-    ends.iter().any(|end| scopes.iter().any(|scope| cuts.contains_key(&(*end, *scope))))
+    ends.iter().any(|end| scopes.iter().any(|scope| active.contains_key(&(*end, *scope))))
 }
--- a/src/bench/site/duplicate_link.rs
+++ b/src/bench/site/duplicate_link.rs
@@ -7,30 +7,30 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Which answers are given twice.
+/// Which responses a [`DuplicateLink`] sends twice.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DuplicatePlan {
-    /// Answers to requests whose head holds this text, in lower case.
+    /// Lower-case text; responses to requests that contain it are sent twice.
     pub request_contains: &'static str,
-    /// How many of them.
+    /// How many more responses are sent twice.
     pub times: u32,
 }
 
-/// A loopback link before a stand-in that can give its answers twice.
+/// A loopback proxy in front of a stand-in that can send responses twice.
 ///
-/// The second copy of an answer leaves when the next request on its connection has arrived, ahead of that
-/// request's own answer; from then on the connection is one answer behind, as it is with a server whose
-/// work takes longer than the pause between two requests.
+/// The second copy of a response is sent when the next request arrives on the same connection, before that
+/// request's own response. From then on, the connection is one response behind, as with a server that needs
+/// more time for a request than passes until the next one.
 #[derive(Debug, Clone)]
 pub struct DuplicateLink {
-    /// Where it listens.
+    /// The address that the link listens on.
     pub address: SocketAddr,
     plan: Arc<Mutex<DuplicatePlan>>,
     connections: Arc<AtomicU32>,
 }
 
 impl DuplicateLink {
-    /// Starts a link to `target` that passes everything on until it is told otherwise.
+    /// Starts a link to `target` that duplicates nothing until [`DuplicateLink::duplicate`] is called.
     ///
     /// # Errors
     /// If no port can be bound.
@@ -39,69 +39,69 @@
         let address = listener.local_addr()?;
         let plan = Arc::new(Mutex::new(DuplicatePlan { request_contains: "", times: 0 }));
         let link = Self { address, plan, connections: Arc::default() };
-        let serving = link.clone();
+        let acceptor = link.clone();
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                let link = serving.clone();
+            while let Ok((client, _)) = listener.accept().await {
+                let link = acceptor.clone();
                 link.connections.fetch_add(1, Ordering::Relaxed);
-                // Whoever breaks off first ends both sides.
-                tokio::spawn(async move { drop(link.carry(near, target).await) });
+                // When either side disconnects, both connections are dropped.
+                tokio::spawn(async move { drop(link.relay(client, target).await) });
             }
         });
         Ok(link)
     }
 
-    /// Gives the next answers that `plan` names twice.
+    /// Sends the next responses that match `plan` twice.
     pub fn duplicate(&self, plan: DuplicatePlan) {
         *lock(&self.plan) = plan;
     }
 
-    /// Answers that are still to be given twice.
+    /// Number of responses that are still to be sent twice.
     pub fn remaining(&self) -> u32 {
         lock(&self.plan).times
     }
 
-    /// Connections that were opened to it.
+    /// Number of connections accepted so far.
     pub fn connections(&self) -> u32 {
         self.connections.load(Ordering::Relaxed)
     }
 
-    async fn carry(&self, mut near: TcpStream, target: SocketAddr) -> Result<()> {
-        let mut far = TcpStream::connect(target).await?;
-        far.set_nodelay(true)?;
-        near.set_nodelay(true)?;
-        // The copy, or the answer, that is behind.
-        let mut late: Option<Bytes> = None;
-        while let Some(request) = read_message(&mut near, None).await? {
-            if let Some(earlier) = late.take() {
-                near.write_all(&earlier).await?;
-                far.write_all(&request).await?;
-                late = read_message(&mut far, None).await?;
+    async fn relay(&self, mut client: TcpStream, target: SocketAddr) -> Result<()> {
+        let mut server = TcpStream::connect(target).await?;
+        server.set_nodelay(true)?;
+        client.set_nodelay(true)?;
+        // The copy or response that is sent when the next request arrives.
+        let mut delayed: Option<Bytes> = None;
+        while let Some(request) = read_message(&mut client, None).await? {
+            if let Some(delayed_answer) = delayed.take() {
+                client.write_all(&delayed_answer).await?;
+                server.write_all(&request).await?;
+                delayed = read_message(&mut server, None).await?;
                 continue;
             }
-            far.write_all(&request).await?;
-            let Some(answer) = read_message(&mut far, Some(&mut near)).await? else {
+            server.write_all(&request).await?;
+            let Some(answer) = read_message(&mut server, Some(&mut client)).await? else {
                 return Ok(());
             };
-            if self.is_doubled(&request) {
-                late = Some(answer);
+            if self.take_duplicate(&request) {
+                delayed = Some(answer);
             }
         }
         Ok(())
     }
 
-    fn is_doubled(&self, request: &[u8]) -> bool {
+    fn take_duplicate(&self, request: &[u8]) -> bool {
         let mut plan = lock(&self.plan);
         let text = String::from_utf8_lossy(request).to_ascii_lowercase();
-        let doubled = plan.times > 0 && text.contains(plan.request_contains);
-        if doubled {
+        let is_duplicated = plan.times > 0 && text.contains(plan.request_contains);
+        if is_duplicated {
             plan.times -= 1;
         }
-        doubled
+        is_duplicated
     }
 }
 
-/// How a message's body ends.
+/// How the end of a message body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BodyEnd {
     Length(usize),
@@ -109,26 +109,27 @@
     Close,
 }
 
-/// Reads a message to its end, and passes it on as it comes; `None` if the connection has ended.
+/// Reads a message to its end and forwards its bytes to `forward_to` as they arrive; `None` if the connection ended
+/// before the message was complete.
 async fn read_message(
     from: &mut (impl AsyncRead + Unpin),
-    mut onward: Option<&mut TcpStream>,
+    mut forward_to: Option<&mut TcpStream>,
 ) -> Result<Option<Bytes>> {
     let mut bytes = BytesMut::new();
     while message_end(&bytes).is_none() {
-        let before = bytes.len();
+        let already_read = bytes.len();
         if from.read_buf(&mut bytes).await? == 0 {
             let closes = body_end(&bytes).is_some_and(|(_, end)| end == BodyEnd::Close);
             return Ok(closes.then(|| bytes.freeze()));
         }
-        if let Some(onward) = onward.as_deref_mut() {
-            onward.write_all(&bytes[before..]).await?;
+        if let Some(forward_to) = forward_to.as_deref_mut() {
+            forward_to.write_all(&bytes[already_read..]).await?;
         }
     }
     Ok(Some(bytes.freeze()))
 }
 
-/// Where a message that is there as a whole ends.
+/// Length of the first message in the buffer; `None` if it is incomplete or ends with the connection.
 pub(in crate::bench) fn message_end(message: &[u8]) -> Option<usize> {
     let (head, end) = body_end(message)?;
     let end = match end {
@@ -139,7 +140,7 @@
     end.filter(|end| message.len() >= *end)
 }
 
-/// Length of a message's head and how its body ends, once the head is there.
+/// Length of a message's head and how its body ends; `None` while the head is incomplete.
 fn body_end(message: &[u8]) -> Option<(usize, BodyEnd)> {
     let text = String::from_utf8_lossy(message).to_ascii_lowercase();
     let head = &text[..text.find("\r\n\r\n")?];
@@ -156,19 +157,19 @@
     Some((head.len() + 4, end))
 }
 
-/// Where the last chunk of a chunked body ends, if it is there.
+/// Length of a chunked body up to the end of its last chunk; `None` while it is incomplete.
 fn last_chunk_end(body: &[u8]) -> Option<usize> {
-    let mut place = 0;
+    let mut offset = 0;
     loop {
-        let line = body[place..].windows(2).position(|pair| pair == b"\r\n")?;
-        let digits = String::from_utf8_lossy(&body[place..place + line]).into_owned();
+        let line = body[offset..].windows(2).position(|pair| pair == b"\r\n")?;
+        let digits = String::from_utf8_lossy(&body[offset..offset + line]).into_owned();
         let size = usize::from_str_radix(digits.trim(), 16).ok()?;
-        place += line + 2 + size + 2;
-        if place > body.len() {
+        offset += line + 2 + size + 2;
+        if offset > body.len() {
             return None;
         }
         if size == 0 {
-            return Some(place);
+            return Some(offset);
         }
     }
 }
--- a/src/bench/site/engine_events.rs
+++ b/src/bench/site/engine_events.rs
@@ -1,7 +1,7 @@
-//! The events of a stand-in engine's answer, and what it does wrong with them.
+//! The event stream of a stand-in engine's response and the faults injected into it.
 
 use super::engine_fault::EngineFault;
-use super::event_feed::{EventSender, cut_within};
+use super::event_feed::{EventSender, send_truncated};
 use super::site_engine::SiteEngine;
 use crate::host::lock;
 use bytes::Bytes;
@@ -9,37 +9,37 @@
 use std::sync::Arc;
 
 impl SiteEngine {
-    /// Makes the events of the run at `place` from `first` on, until its caller leaves.
-    pub(super) async fn make_events(
+    /// Sends the events of the run at `run_index`, starting with number `first`, until its caller disconnects.
+    pub(super) async fn send_events(
         self: Arc<Self>,
         prompt: String,
         first: u64,
-        place: usize,
+        run_index: usize,
         events: EventSender,
     ) {
         for number in first..self.events {
             let text = format!("id: {number}\ndata: {prompt} {number}\n\n");
-            let made = number - first;
-            let sent = match self.fault() {
-                EngineFault::CutAfter(most) if made >= most => {
-                    cut_within(&events, &text).await;
+            let sent_count = number - first;
+            let is_sent = match self.fault() {
+                EngineFault::CutAfter(limit) if sent_count >= limit => {
+                    send_truncated(&events, &text).await;
                     return;
                 }
-                EngineFault::StallAfter(most) if made >= most => {
+                EngineFault::StallAfter(limit) if sent_count >= limit => {
                     events.closed().await;
                     false
                 }
-                EngineFault::StrayAfter(most) if first == 0 && made == most => {
+                EngineFault::StrayAfter(limit) if first == 0 && sent_count == limit => {
                     let stray = format!("HTTP/1.1 200 OK\r\ndata: stray\r\n\r\n{text}");
                     events.send(Ok(Frame::data(Bytes::from(stray)))).await.is_ok()
                 }
                 _ => events.send(Ok(Frame::data(Bytes::from(text)))).await.is_ok(),
             };
-            if !sent {
-                lock(&self.runs)[place].cancelled = true;
+            if !is_sent {
+                lock(&self.runs)[run_index].cancelled = true;
                 return;
             }
-            tokio::time::sleep(self.pause).await;
+            tokio::time::sleep(self.event_interval).await;
         }
     }
 }
--- a/src/bench/site/engine_fault.rs
+++ b/src/bench/site/engine_fault.rs
@@ -1,29 +1,29 @@
-/// What a stand-in engine does wrong.
+/// A fault of a stand-in engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum EngineFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It grants no holds, as when its memory is full.
+    /// Grants no holds, as when the engine's memory is full.
     Full,
-    /// It answers nothing.
+    /// Never responds.
     Silent,
-    /// Results of prefills are gone when they are fetched.
+    /// Prefill results are missing when they are fetched.
     LoseHandles,
-    /// It reads prompts and breaks off instead of answering.
+    /// Prefills prompts but drops the connection instead of responding.
     LoseReads,
-    /// It answers 500 to runs.
+    /// Responds 500 to decode requests.
     FailRuns,
-    /// It breaks streams off within the event after this many.
+    /// Truncates streams in the middle of the event that follows this many events.
     CutAfter(u64),
-    /// It makes this many events and then nothing.
+    /// Sends this many events and then stalls.
     StallAfter(u64),
-    /// In runs from the beginning, something that is none of the stream's events comes after this many.
+    /// In runs that start at the first event, sends bytes that are not an event of the stream after this many events.
     StrayAfter(u64),
-    /// It answers with the id of another request.
+    /// Responds with the id of another request.
     ForeignAnswer,
-    /// It changes its stage: it grants holds, but turns reads and runs away.
+    /// Changes its stage: grants holds, but rejects prefill and decode requests.
     Changing,
-    /// It takes orders, leaves them unanswered, and carries nothing out.
+    /// Accepts orders but neither executes them nor responds.
     LoseOrders,
 }
--- a/src/bench/site/event_feed.rs
+++ b/src/bench/site/event_feed.rs
@@ -1,4 +1,4 @@
-use super::site_http::BrokenOff;
+use super::site_http::ConnectionDropped;
 use bytes::Bytes;
 use hyper::body::Frame;
 use std::pin::Pin;
@@ -6,16 +6,16 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Events before a cut have this long to leave.
-const CUT_PAUSE: Duration = Duration::from_millis(20);
+/// Time for earlier events to be written before a stream is broken.
+const FLUSH_DELAY: Duration = Duration::from_millis(20);
 
-/// A piece of a stand-in's stream, or its break.
-pub(super) type EventPiece = Result<Frame<Bytes>, BrokenOff>;
+/// A frame of a stand-in's stream, or the error that breaks the stream.
+pub(super) type EventPiece = Result<Frame<Bytes>, ConnectionDropped>;
 
-/// Where a stand-in puts the pieces of a stream.
+/// The channel into which a stand-in sends the frames of a stream.
 pub(super) type EventSender = mpsc::Sender<EventPiece>;
 
-/// A stream of events from a channel.
+/// A response body that reads its frames from a channel.
 pub(super) struct EventFeed(pub mpsc::Receiver<EventPiece>);
 
 impl futures_core::Stream for EventFeed {
@@ -26,12 +26,12 @@
     }
 }
 
-/// Breaks a stream off within an event.
-pub(super) async fn cut_within(events: &EventSender, event: &str) {
+/// Sends the first half of an event and then breaks the stream.
+pub(super) async fn send_truncated(events: &EventSender, event: &str) {
     let half = Bytes::copy_from_slice(&event.as_bytes()[..event.len() / 2]);
-    // A caller that leaves before the cut is part of tests.
+    // Tests include callers that disconnect before this point.
     drop(events.send(Ok(Frame::data(half))).await);
-    // The HTTP library drops what it has not written when a body fails.
-    tokio::time::sleep(CUT_PAUSE).await;
-    drop(events.send(Err(BrokenOff)).await);
+    // The HTTP library discards unwritten frames when a body fails.
+    tokio::time::sleep(FLUSH_DELAY).await;
+    drop(events.send(Err(ConnectionDropped)).await);
 }
--- a/src/bench/site/incarnation_switch.rs
+++ b/src/bench/site/incarnation_switch.rs
@@ -3,89 +3,90 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::watch;
 
-/// Where a stand-in server listens after a restart.
+/// The address of a stand-in server after a restart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RestartAddress {
-    /// Where it did before.
+    /// The same address as before.
     Same,
-    /// On another free port; the former one is closed.
+    /// Another free port; the previous one is closed.
     Other,
 }
 
-/// One life of a stand-in server.
+/// One incarnation of a stand-in server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(in crate::bench) struct StandinIncarnation {
-    /// Unix millisecond of its start; a stand-in says none until it is restarted.
-    pub born: Option<u64>,
+    /// Start time in Unix milliseconds; a stand-in reports none until it is restarted.
+    pub started_at: Option<u64>,
     pub address: Option<SocketAddr>,
-    /// It has crashed: it listens nowhere until it starts again.
+    /// The server has crashed and does not listen until it is restarted.
     pub is_down: bool,
 }
 
-/// The present life of a stand-in server; connections end with the life that accepted them.
+/// The current incarnation of a stand-in server. Connections end with the incarnation that accepted them.
 #[derive(Debug, Clone, Default)]
 pub(in crate::bench) struct IncarnationSwitch {
-    life: watch::Sender<StandinIncarnation>,
+    incarnation: watch::Sender<StandinIncarnation>,
     crashes: Arc<Mutex<Vec<String>>>,
 }
 
 impl IncarnationSwitch {
-    /// The present life.
+    /// The current incarnation.
     pub fn current(&self) -> StandinIncarnation {
-        *self.life.borrow()
+        *self.incarnation.borrow()
     }
 
-    /// The server listens at `address` from now on.
+    /// Records that the server listens at `address`.
     pub fn move_to(&self, address: SocketAddr) {
-        self.life.send_modify(|life| life.address = Some(address));
+        self.incarnation.send_modify(|incarnation| incarnation.address = Some(address));
     }
 
-    /// A new life begins.
-    pub fn begin(&self, born: u64) {
-        self.life.send_modify(|life| {
-            life.born = Some(born);
-            life.is_down = false;
+    /// Begins a new incarnation.
+    pub fn begin(&self, started_at: u64) {
+        self.incarnation.send_modify(|incarnation| {
+            incarnation.started_at = Some(started_at);
+            incarnation.is_down = false;
         });
     }
 
-    /// The server crashes under the request `id`: its connections break, and further ones are refused.
+    /// Crashes the server during the request `id`: its connections break, and new ones are refused.
     pub fn crash(&self, id: &str) {
         lock(&self.crashes).push(id.to_owned());
-        self.life.send_modify(|life| life.is_down = true);
+        self.incarnation.send_modify(|incarnation| incarnation.is_down = true);
     }
 
-    /// Whether the server has crashed and not started again.
+    /// Whether the server has crashed and not been restarted.
     pub fn is_down(&self) -> bool {
-        self.life.borrow().is_down
+        self.incarnation.borrow().is_down
     }
 
-    /// Requests under which it crashed, in all of its lives.
+    /// Ids of the requests that crashed the server, over all incarnations.
     pub fn crashes(&self) -> Vec<String> {
         lock(&self.crashes).clone()
     }
 
-    /// Waits until the server has started again after a crash.
+    /// Waits until the server is not down after a crash.
     pub async fn restarted(&self) {
-        // As below.
-        drop(self.life.subscribe().wait_for(|life| !life.is_down).await);
+        // The wait cannot fail, because `self` owns the sender.
+        drop(self.incarnation.subscribe().wait_for(|incarnation| !incarnation.is_down).await);
     }
 
     /// Waits until the server has crashed.
     pub async fn crashed(&self) {
-        // The sender lives as long as this switch: the wait ends only with a crash.
-        drop(self.life.subscribe().wait_for(|life| life.is_down).await);
+        // The wait cannot fail, because `self` owns the sender.
+        drop(self.incarnation.subscribe().wait_for(|incarnation| incarnation.is_down).await);
     }
 
-    /// Waits until `life` is over.
-    pub async fn ended(&self, life: StandinIncarnation) {
-        // The sender lives as long as this switch: the wait ends only with the life.
-        drop(self.life.subscribe().wait_for(|now| *now != life).await);
+    /// Waits until `incarnation` is no longer the current one.
+    pub async fn ended(&self, incarnation: StandinIncarnation) {
+        // The wait cannot fail, because `self` owns the sender.
+        drop(self.incarnation.subscribe().wait_for(|current| *current != incarnation).await);
     }
 
     /// Waits until the server no longer listens at `address`.
-    pub async fn left(&self, address: SocketAddr) {
-        // As above.
-        let elsewhere = |now: &StandinIncarnation| now.is_down || now.address != Some(address);
-        drop(self.life.subscribe().wait_for(elsewhere).await);
+    pub async fn moved_from(&self, address: SocketAddr) {
+        // The wait cannot fail, because `self` owns the sender.
+        let elsewhere =
+            |current: &StandinIncarnation| current.is_down || current.address != Some(address);
+        drop(self.incarnation.subscribe().wait_for(elsewhere).await);
     }
 }
--- a/src/bench/site/mod.rs
+++ b/src/bench/site/mod.rs
@@ -1,11 +1,10 @@
-//! Stand-ins that speak the users' platform's protocol, in the process of a test.
+//! Stand-ins that implement the protocol of the users' platform inside a test process.
 //!
-//! Each has switches for the faults that trials on the users' bench showed; none has a cost model.
+//! Each stand-in can inject the faults that were observed on the users' bench; none models costs.
 
 mod duplicate_link;
 mod engine_events;
 mod engine_fault;
-mod engine_memory;
 mod engine_orders;
 mod event_feed;
 mod incarnation_switch;
@@ -22,6 +21,7 @@
 mod site_store;
 mod store_objects;
 mod test_site;
+mod volatile_state;
 
 pub(in crate::bench) use duplicate_link::message_end;
 pub use duplicate_link::{DuplicateLink, DuplicatePlan};
--- a/src/bench/site/site_arrivals.rs
+++ b/src/bench/site/site_arrivals.rs
@@ -1,36 +1,36 @@
-use super::site_http::{SiteAnswer, WholeRequest, header};
+use super::site_http::{BufferedRequest, SiteAnswer, header};
 use crate::host::lock;
 use http::HeaderValue;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Length of the windows in which arrivals are counted.
+/// Length of the window in which arrivals are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// All hosts have to know of a change of the limit after this.
-const CONTACT: Duration = Duration::from_secs(3);
-/// What a server may get of what its limit allows in a window, and requests beyond that.
+/// Time within which all hosts must apply a changed limit.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
+/// A server may receive [`TOLERANCE`] times the requests that its limit allows in a window, plus [`SLACK`].
 const TOLERANCE: f64 = 1.5;
 const SLACK: f64 = 5.0;
 
-/// What a stand-in server says of its limit.
+/// How a stand-in server announces its limit in responses.
 #[derive(Debug, Clone, Default)]
 pub struct LimitAnnouncement {
-    /// The limit that it means, in requests a second.
+    /// The limit in requests per second against which arrivals are checked.
     pub limit: Option<f64>,
-    /// What stands in its answers, a header each.
+    /// Values of the limit header, one header each.
     pub values: Vec<String>,
-    /// One of so many answers says nothing; none of them, if this is zero.
+    /// Omits the headers from every n-th response; from none if this is zero.
     pub omit_every: usize,
 }
 
 impl LimitAnnouncement {
-    /// Names `limit` in each answer.
+    /// Announces `limit` in every response.
     pub fn of(limit: f64) -> Self {
         Self { limit: Some(limit), values: vec![limit.to_string()], omit_every: 0 }
     }
 }
 
-/// A window in which a server got more than its limit allows.
+/// A window in which a server received more requests than its limit allows.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitExcess {
     /// Requests that arrived.
@@ -40,51 +40,52 @@
 }
 
 #[derive(Debug, Default)]
-struct ArrivalBook {
-    speech: LimitAnnouncement,
-    /// When answers began to name each limit, or none.
-    named: Vec<(Instant, Option<f64>)>,
+struct ArrivalHistory {
+    announcement: LimitAnnouncement,
+    /// The limits in the order in which responses announced them, with the time of the first such response; `None`
+    /// if no limit was announced.
+    announced: Vec<(Instant, Option<f64>)>,
     arrivals: Vec<Instant>,
     answers: usize,
 }
 
-/// Counts the requests that arrive at a stand-in server, whatever becomes of them, and names its limit.
+/// Counts the requests that arrive at a stand-in server, whatever their outcome, and announces its limit.
 #[derive(Debug, Default)]
-pub struct SiteArrivals(Mutex<ArrivalBook>);
+pub struct SiteArrivals(Mutex<ArrivalHistory>);
 
 impl SiteArrivals {
-    /// Changes what the server says from now on.
-    pub fn set(&self, speech: LimitAnnouncement) {
-        lock(&self.0).speech = speech;
+    /// Sets what later responses announce.
+    pub fn set(&self, announcement: LimitAnnouncement) {
+        lock(&self.0).announcement = announcement;
     }
 
-    /// Forgets what has arrived and was named.
+    /// Clears the recorded arrivals and announced limits.
     pub fn clear(&self) {
-        let mut book = lock(&self.0);
-        book.arrivals.clear();
-        book.named.clear();
+        let mut history = lock(&self.0);
+        history.arrivals.clear();
+        history.announced.clear();
     }
 
-    /// A request arrived; the router's own calls have no id.
-    pub(super) fn note(&self, request: &WholeRequest) {
+    /// Records the arrival of a request. The router's own calls have no id and are not counted.
+    pub(super) fn record(&self, request: &BufferedRequest) {
         if header(request, "x-request-id").is_some() {
             lock(&self.0).arrivals.push(Instant::now());
         }
     }
 
-    /// Names the limit in an answer.
-    pub(super) fn name(&self, answer: SiteAnswer) -> SiteAnswer {
+    /// Adds the limit headers to a response.
+    pub(super) fn add_limit_headers(&self, answer: SiteAnswer) -> SiteAnswer {
         let mut answer = answer?;
-        let mut book = lock(&self.0);
-        let speech = book.speech.clone();
-        if book.named.last().and_then(|(_, limit)| *limit) != speech.limit {
-            book.named.push((Instant::now(), speech.limit));
+        let mut history = lock(&self.0);
+        let announcement = history.announcement.clone();
+        if history.announced.last().and_then(|(_, limit)| *limit) != announcement.limit {
+            history.announced.push((Instant::now(), announcement.limit));
         }
-        book.answers += 1;
-        if speech.omit_every > 0 && book.answers.is_multiple_of(speech.omit_every) {
+        history.answers += 1;
+        if announcement.omit_every > 0 && history.answers.is_multiple_of(announcement.omit_every) {
             return Ok(answer);
         }
-        for value in &speech.values {
+        for value in &announcement.values {
             if let Ok(value) = HeaderValue::from_bytes(value.as_bytes()) {
                 answer.headers_mut().append("server-limit", value);
             }
@@ -92,23 +93,23 @@
         Ok(answer)
     }
 
-    /// Requests that have arrived.
+    /// Number of requests that have arrived.
     pub fn count(&self) -> usize {
         lock(&self.0).arrivals.len()
     }
 
-    /// The window of all in which it got most beyond what its limit allows.
+    /// The window in which arrivals exceeded the allowed number most; `None` if no window exceeded it.
     ///
-    /// A window counts if a limit was named throughout its last three seconds; the highest of them is allowed. What
-    /// arrived in a window before the limit was first named counts as well.
+    /// A window is checked only if a limit was announced throughout its last three seconds; the highest of these limits
+    /// applies. Requests that arrived in such a window before the limit was first announced count as well.
     pub fn worst_excess(&self) -> Option<LimitExcess> {
-        let book = lock(&self.0);
-        let ends = book.arrivals.iter().enumerate();
-        let excesses = ends.filter_map(|(place, end)| {
-            let limit = book.limit_until(*end)?;
-            let began = book.arrivals.partition_point(|at| *end - *at >= WINDOW);
+        let history = lock(&self.0);
+        let ends = history.arrivals.iter().enumerate();
+        let excesses = ends.filter_map(|(index, end)| {
+            let limit = history.limit_until(*end)?;
+            let window_start = history.arrivals.partition_point(|at| *end - *at >= WINDOW);
             let allowed = limit.mul_add(TOLERANCE * WINDOW.as_secs_f64(), SLACK);
-            let arrived = place + 1 - began;
+            let arrived = index + 1 - window_start;
             (arrived as f64 > allowed).then_some(LimitExcess { arrived, allowed })
         });
         excesses.max_by(|one, other| {
@@ -117,13 +118,13 @@
     }
 }
 
-impl ArrivalBook {
-    /// The highest limit in the last seconds before `end`, if there was one throughout.
+impl ArrivalHistory {
+    /// The highest limit in the last [`PROPAGATION_TIME`] before `end`; `None` unless a limit was announced throughout.
     fn limit_until(&self, end: Instant) -> Option<f64> {
-        let from = end.checked_sub(CONTACT)?;
-        let first = self.named.iter().rposition(|(at, _)| *at <= from)?;
-        let limits = self.named[first..].iter().take_while(|(at, _)| *at <= end);
-        limits
+        let from = end.checked_sub(PROPAGATION_TIME)?;
+        let first = self.announced.iter().rposition(|(at, _)| *at <= from)?;
+        let in_force = self.announced[first..].iter().take_while(|(at, _)| *at <= end);
+        in_force
             .map(|(_, limit)| *limit)
             .try_fold(0.0, |highest: f64, limit| limit.map(|limit| highest.max(limit)))
     }
--- a/src/bench/site/site_caller.rs
+++ b/src/bench/site/site_caller.rs
@@ -11,45 +11,45 @@
 /// A request of a stand-in caller.
 #[derive(Debug, Clone)]
 pub struct SiteCall {
-    /// Method.
+    /// HTTP method.
     pub method: &'static str,
     /// Path.
     pub path: String,
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<(&'static str, String)>,
-    /// Body.
+    /// Request body.
     pub body: &'static str,
 }
 
-/// What a stand-in caller got.
+/// The response that a stand-in caller received.
 #[derive(Debug, Clone)]
 pub struct CallerReply {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// The body, as far as it came.
+    /// The part of the body that arrived.
     pub body: Bytes,
-    /// The answer was complete.
+    /// Whether the response was complete.
     pub complete: bool,
 }
 
 impl CallerReply {
-    /// A header's text, or an empty one.
+    /// The value of a header, or an empty string.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
     }
 
-    /// Numbers of the events in the body.
+    /// The numbers of the events in the body.
     pub fn events(&self) -> Vec<u64> {
         let text = String::from_utf8_lossy(&self.body).into_owned();
         text.lines().filter_map(|line| line.strip_prefix("id: ")?.parse().ok()).collect()
     }
 }
 
-/// A caller's connection, kept for several requests.
+/// A caller's connection that can be reused for several requests.
 #[derive(Debug)]
 pub struct SiteConnection {
     sender: SendRequest<Full<Bytes>>,
@@ -59,20 +59,20 @@
     /// Opens a connection to a daemon.
     ///
     /// # Errors
-    /// If it cannot be opened.
+    /// If the connection cannot be opened.
     pub async fn open(address: SocketAddr) -> Result<Self> {
         Ok(Self { sender: HttpPool::connect(address).await? })
     }
 
-    /// Whether the daemon has not closed it.
+    /// Whether the connection is still open.
     pub fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
 
-    /// Sends a request and reads the answer to its end.
+    /// Sends a request and reads the response to its end.
     ///
     /// # Errors
-    /// If no head of an answer came.
+    /// If no response head arrived.
     pub async fn call(&mut self, call: &SiteCall) -> Result<CallerReply> {
         let mut builder = Request::builder()
             .method(call.method)
@@ -106,10 +106,10 @@
     }
 }
 
-/// Sends a request to a daemon on a connection of its own and reads the answer to its end.
+/// Sends a request to a daemon on a new connection and reads the response to its end.
 ///
 /// # Errors
-/// If no head of an answer came.
+/// If no response head arrived.
 pub async fn call_site(address: SocketAddr, call: &SiteCall) -> Result<CallerReply> {
     SiteConnection::open(address).await?.call(call).await
 }
--- a/src/bench/site/site_config.rs
+++ b/src/bench/site/site_config.rs
@@ -1,8 +1,8 @@
-//! Configurations of a site, as its operator writes them.
+//! Configurations of a test site, in the form that an operator writes.
 
 use serde_json::{Value, json};
 
-/// A configuration with a stream route, a resumable one, a safe and an unsafe one.
+/// A configuration with a streaming route, a resumable streaming route, a safe route and an unsafe one.
 pub fn config(version: u64) -> Value {
     let route = |name: &str, kind: &str, attempts: u32, service: &str, resume: bool| {
         json!({"name": name, "host": "books.example", "path_prefix": format!("/{name}/"),
@@ -27,8 +27,8 @@
             "idle_timeout_ms": 15000}})
 }
 
-/// The same with two organisations, of which the second one has a limit in tokens, and a route that needs
-/// no key.
+/// [`config`] with two organisations, of which the second has a token limit, and with a route that needs no
+/// key.
 pub fn keyed_config(version: u64) -> Value {
     let mut config = config(version);
     config["routes"][2]["public"] = json!(true);
@@ -41,19 +41,19 @@
     config
 }
 
-/// A configuration with `further` routes that nobody asks for, each of about 250 bytes.
-pub fn larger_config(version: u64, further: usize) -> Value {
+/// [`config`] with `extra` additional unused routes of about 250 bytes each.
+pub fn larger_config(version: u64, extra: usize) -> Value {
     let mut config = config(version);
-    let others = (0..further).map(|place| {
-        plain_route(&format!("a-route-that-nobody-asks-for-{place}"), &format!("/further/{place}/"))
+    let extra_routes = (0..extra).map(|index| {
+        plain_route(&format!("a-route-that-nobody-asks-for-{index}"), &format!("/further/{index}/"))
     });
     if let Some(routes) = config["routes"].as_array_mut() {
-        routes.extend(others);
+        routes.extend(extra_routes);
     }
     config
 }
 
-/// A route whose requests may be repeated, to the plain service.
+/// A route to the plain service whose requests may be retried.
 pub fn plain_route(name: &str, path: &str) -> Value {
     json!({"name": name, "host": "books.example", "path_prefix": path, "kind": "safe",
         "timeout_ms": 20_000, "slo_ms": 2000, "priority": 1, "service": "app", "attempts": 2,
--- a/src/bench/site/site_domains.rs
+++ b/src/bench/site/site_domains.rs
@@ -1,9 +1,9 @@
-//! Failure domains of a site's servers.
+//! Failure domains of a test site's servers.
 
 use super::TestSite;
 
 impl TestSite {
-    /// Spreads the servers over failure domains.
+    /// Spreads the servers over failure domains and rewrites their entries.
     pub fn spread_over_domains(&mut self, domains: &'static [&'static str]) {
         self.domains = domains;
         for server in &self.servers {
@@ -11,9 +11,9 @@
         }
     }
 
-    /// The failure domain of a server; ids end with a number.
-    pub(super) fn zone(&self, id: &str) -> &'static str {
-        let place = id.rsplit('-').next().and_then(|number| number.parse::<usize>().ok());
-        self.domains[place.unwrap_or_default() % self.domains.len()]
+    /// The failure domain of a server, chosen by the number at the end of its id.
+    pub(super) fn domain(&self, id: &str) -> &'static str {
+        let index = id.rsplit('-').next().and_then(|number| number.parse::<usize>().ok());
+        self.domains[index.unwrap_or_default() % self.domains.len()]
     }
 }
--- a/src/bench/site/site_engine.rs
+++ b/src/bench/site/site_engine.rs
@@ -1,13 +1,13 @@
 use super::engine_fault::EngineFault;
-use super::engine_memory::EngineMemory;
 use super::event_feed::EventFeed;
 use super::incarnation_switch::{IncarnationSwitch, RestartAddress};
 use super::site_arrivals::{LimitAnnouncement, SiteArrivals};
 use super::site_http::{
-    BrokenOff, SiteAnswer, SiteHandler, WholeRequest, crash_server, header, is_crashing, refusal,
-    restart_site, serve_site, signed, whole,
+    BufferedRequest, ConnectionDropped, SiteAnswer, SiteHandler, crash_server, full_response,
+    header, is_crash_request, not_run_response, restart_site, serve_site, signed,
 };
 use super::site_run::SiteRun;
+use super::volatile_state::VolatileState;
 use crate::Result;
 use crate::host::lock;
 use http_body_util::{BodyExt, StreamBody};
@@ -22,45 +22,45 @@
 /// A stand-in for a model engine.
 #[derive(Debug)]
 pub struct SiteEngine {
-    /// Its id, the same in all of its lives.
+    /// The engine's id, the same in all incarnations.
     pub id: String,
-    lives: IncarnationSwitch,
-    /// What arrives, and what it says of its limit; a new life of it says nothing.
+    incarnations: IncarnationSwitch,
+    /// Arrived requests and the announced limit; a new incarnation announces none.
     pub arrivals: SiteArrivals,
     pub(super) stage: Mutex<String>,
     pub(super) events: u64,
-    pub(super) pause: Duration,
+    pub(super) event_interval: Duration,
     fault: Mutex<EngineFault>,
     pub(super) runs: Mutex<Vec<SiteRun>>,
-    pub(super) memory: Mutex<EngineMemory>,
-    serials: AtomicU64,
+    pub(super) state: Mutex<VolatileState>,
+    next_serial: AtomicU64,
     rejected_count: AtomicU64,
     pub(super) reports: AtomicU64,
-    /// Prefill engines of the site, by address, from which results are fetched.
+    /// Prefill engines from which results can be fetched, by address.
     sources: Mutex<HashMap<String, Arc<SiteEngine>>>,
 }
 
 impl SiteEngine {
-    /// An engine whose answers have `events` events, one each `pause`.
-    pub fn new(id: &str, stage: &str, events: u64, pause: Duration) -> Self {
+    /// An engine whose responses consist of `events` events, one every `event_interval`.
+    pub fn new(id: &str, stage: &str, events: u64, event_interval: Duration) -> Self {
         Self {
             id: id.to_owned(),
-            lives: IncarnationSwitch::default(),
+            incarnations: IncarnationSwitch::default(),
             arrivals: SiteArrivals::default(),
             stage: Mutex::new(stage.to_owned()),
             events,
-            pause,
+            event_interval,
             fault: Mutex::default(),
             runs: Mutex::default(),
-            memory: Mutex::default(),
-            serials: AtomicU64::new(1),
+            state: Mutex::default(),
+            next_serial: AtomicU64::new(1),
             rejected_count: AtomicU64::new(0),
             reports: AtomicU64::new(0),
             sources: Mutex::default(),
         }
     }
 
-    /// Serves the engine on a free port.
+    /// Serves the engine on a free port and returns its address.
     ///
     /// # Errors
     /// If no port can be bound.
@@ -68,178 +68,182 @@
         serve_site(Arc::clone(self)).await
     }
 
-    /// Starts the engine again under its id: its connections break, and it holds, knows and counts
-    /// nothing of before. Returns where it listens.
+    /// Restarts the engine under the same id: its connections break, and its volatile state is cleared.
+    /// Returns its address.
     ///
     /// # Errors
     /// If no port can be bound.
-    pub async fn restart(self: &Arc<Self>, born: u64, place: RestartAddress) -> Result<SocketAddr> {
-        let address = restart_site(self, born, place).await?;
-        lock(&self.memory).restart();
+    pub async fn restart(
+        self: &Arc<Self>,
+        started_at: u64,
+        restart_address: RestartAddress,
+    ) -> Result<SocketAddr> {
+        let address = restart_site(self, started_at, restart_address).await?;
+        lock(&self.state).restart();
         self.set_fault(EngineFault::None);
         self.arrivals.set(LimitAnnouncement::default());
         Ok(address)
     }
 
-    /// When its present life began, if it says so.
+    /// Start time of the current incarnation in Unix milliseconds, if it reports one.
     pub fn started_at(&self) -> Option<u64> {
-        self.lives.current().born
+        self.incarnations.current().started_at
     }
 
     pub(super) fn incarnation_switch(&self) -> &IncarnationSwitch {
-        &self.lives
+        &self.incarnations
     }
 
-    /// Names an engine from which results can be fetched.
+    /// Adds an engine from which results can be fetched.
     pub fn add_source(&self, address: SocketAddr, engine: &Arc<Self>) {
         lock(&self.sources).insert(address.to_string(), Arc::clone(engine));
     }
 
-    /// Switches a fault on, or all off.
+    /// Injects a fault, or ends the present one with [`EngineFault::None`].
     pub fn set_fault(&self, fault: EngineFault) {
         *lock(&self.fault) = fault;
     }
 
-    /// Its part.
+    /// The engine's stage: `prefill` or `decode`.
     pub fn stage(&self) -> String {
         lock(&self.stage).clone()
     }
 
-    /// What it worked on, oldest first.
+    /// The requests that the engine worked on, oldest first.
     pub fn runs(&self) -> Vec<SiteRun> {
         lock(&self.runs).clone()
     }
 
-    /// Holds that were granted and neither used nor given back, and have not lapsed.
+    /// Number of holds that were neither used nor released and have not expired.
     pub fn open_holds(&self) -> usize {
-        lock(&self.memory).open_holds()
+        lock(&self.state).open_holds()
     }
 
-    /// Results of prefills that were neither fetched nor given back, and have not lapsed.
+    /// Number of prefill results that were neither fetched nor released and have not expired.
     pub fn open_handles(&self) -> usize {
-        lock(&self.memory).open_handles()
+        lock(&self.state).open_handles()
     }
 
-    /// Reads and runs that it turned away while it changed its stage.
+    /// Number of prefill and decode requests that were rejected during a stage change.
     pub fn rejected_count(&self) -> u64 {
         self.rejected_count.load(Ordering::Relaxed)
     }
 
-    /// Times that it was asked for its report, over all of its lives.
+    /// Number of report requests over all incarnations.
     pub fn reports(&self) -> u64 {
         self.reports.load(Ordering::Relaxed)
     }
 
-    /// Orders that it took in all of its lives: who gave them, under which fence.
+    /// Orders that all incarnations accepted: the holder and the fence of each.
     pub fn orders(&self) -> Vec<(String, u64)> {
-        lock(&self.memory).all_orders()
+        lock(&self.state).all_orders()
     }
 
     pub(super) fn fault(&self) -> EngineFault {
         *lock(&self.fault)
     }
 
-    fn serial(&self) -> String {
-        format!("{}-{}", self.id, self.serials.fetch_add(1, Ordering::Relaxed))
+    fn next_id(&self) -> String {
+        format!("{}-{}", self.id, self.next_serial.fetch_add(1, Ordering::Relaxed))
     }
 
-    fn take_hold(&self) -> SiteAnswer {
+    fn grant_hold(&self) -> SiteAnswer {
         if self.fault() == EngineFault::Full {
-            return Ok(whole(503, "{}"));
+            return Ok(full_response(503, "{}"));
         }
-        let hold = self.serial();
-        lock(&self.memory).add_hold(&hold);
-        Ok(whole(200, json!({"hold": hold}).to_string()))
+        let hold = self.next_id();
+        lock(&self.state).add_hold(&hold);
+        Ok(full_response(200, json!({"hold": hold}).to_string()))
     }
 
-    fn prefill(&self, request: &WholeRequest, id: &str) -> SiteAnswer {
-        self.note_run(request, id, "prefill");
+    fn prefill(&self, request: &BufferedRequest, id: &str) -> SiteAnswer {
+        self.record_run(request, id, "prefill");
         if self.fault() == EngineFault::LoseReads {
-            return Err(BrokenOff);
+            return Err(ConnectionDropped);
         }
-        let handle = self.serial();
-        lock(&self.memory).add_handle(&handle, id);
+        let handle = self.next_id();
+        lock(&self.state).add_handle(&handle, id);
         let body = json!({"kv_handle": handle, "tokens": 100, "version": 1}).to_string();
-        Ok(signed(whole(200, body), id, None))
+        Ok(signed(full_response(200, body), id, None))
     }
 
-    fn note_run(&self, request: &WholeRequest, id: &str, stage: &str) -> usize {
+    fn record_run(&self, request: &BufferedRequest, id: &str, stage: &str) -> usize {
         let mut runs = lock(&self.runs);
         runs.push(SiteRun::of(request, id, stage));
         runs.len() - 1
     }
 
-    /// Fetches the result of a prefill and tells whose prompt it is; `None` if it is gone. As on the
-    /// users' platform, nobody checks whose result it should be.
+    /// Fetches a prefill result and returns the id of its request; `None` if the result is missing. As on the
+    /// users' platform, there is no check that the result belongs to the request that fetches it.
     fn fetch(&self, source: &str) -> Option<String> {
         if self.fault() == EngineFault::LoseHandles {
             return None;
         }
         let (address, handle) = source.split_once('/')?;
         let engine = lock(&self.sources).get(address).cloned()?;
-        lock(&engine.memory).take_handle(handle)
+        lock(&engine.state).take_handle(handle)
     }
 
-    async fn decode(self: &Arc<Self>, request: &WholeRequest, id: &str) -> SiteAnswer {
+    async fn decode(self: &Arc<Self>, request: &BufferedRequest, id: &str) -> SiteAnswer {
         let hold = header(request, "hold");
-        let held = hold.is_some_and(|hold| lock(&self.memory).drop_hold(hold));
+        let is_held = hold.is_some_and(|hold| lock(&self.state).release_hold(hold));
         let prompt = match header(request, "kv-from") {
             None => id.to_owned(),
             Some(source) => match self.fetch(source) {
                 Some(owner) => owner,
-                None => return Ok(refusal(id)),
+                None => return Ok(not_run_response(id)),
             },
         };
-        let place = self.note_run(request, id, "decode");
-        lock(&self.runs)[place].held = held;
-        if is_crashing(request) {
-            return crash_server(&self.lives, id).await;
+        let run_index = self.record_run(request, id, "decode");
+        lock(&self.runs)[run_index].held = is_held;
+        if is_crash_request(request) {
+            return crash_server(&self.incarnations, id).await;
         }
         if self.fault() == EngineFault::FailRuns {
-            return Ok(signed(whole(500, "failed"), id, Some(&self.id)));
+            return Ok(signed(full_response(500, "failed"), id, Some(&self.id)));
         }
         let first = header(request, "last-event-id")
             .and_then(|text| text.parse().ok())
-            .map_or(0, |n: u64| n + 1);
+            .map_or(0, |number: u64| number + 1);
         let (events, received) = mpsc::channel(1);
-        tokio::spawn(Arc::clone(self).make_events(prompt, first, place, events));
+        tokio::spawn(Arc::clone(self).send_events(prompt, first, run_index, events));
         let stream = StreamBody::new(EventFeed(received)).boxed_unsync();
-        let answered = if self.fault() == EngineFault::ForeignAnswer { "another" } else { id };
-        Ok(signed(hyper::Response::new(stream), answered, Some(&self.id)))
+        let response_id = if self.fault() == EngineFault::ForeignAnswer { "another" } else { id };
+        Ok(signed(hyper::Response::new(stream), response_id, Some(&self.id)))
     }
 }
 
 impl SiteHandler for SiteEngine {
-    fn lives(&self) -> Option<&IncarnationSwitch> {
-        Some(&self.lives)
+    fn incarnations(&self) -> Option<&IncarnationSwitch> {
+        Some(&self.incarnations)
     }
 
-    async fn answer(self: Arc<Self>, request: WholeRequest) -> SiteAnswer {
-        self.arrivals.note(&request);
-        let answer = Arc::clone(&self).answer_unlimited(request).await;
-        self.arrivals.name(answer)
+    async fn answer(self: Arc<Self>, request: BufferedRequest) -> SiteAnswer {
+        self.arrivals.record(&request);
+        let answer = Arc::clone(&self).answer_request(request).await;
+        self.arrivals.add_limit_headers(answer)
     }
 }
 
 impl SiteEngine {
-    async fn answer_unlimited(self: Arc<Self>, request: WholeRequest) -> SiteAnswer {
+    async fn answer_request(self: Arc<Self>, request: BufferedRequest) -> SiteAnswer {
         if self.fault() == EngineFault::Silent {
             std::future::pending::<()>().await;
         }
         if header(&request, "x-expect-instance").is_some_and(|id| id != self.id) {
-            return Ok(whole(421, ""));
+            return Ok(full_response(421, ""));
         }
         let path = request.uri().path().to_owned();
         if path == "/tealcleat/hold-take" {
-            return self.take_hold();
+            return self.grant_hold();
         }
         if let Some(hold) = path.strip_prefix("/tealcleat/hold-drop/") {
-            lock(&self.memory).drop_hold(hold);
-            return Ok(whole(200, "{}"));
+            lock(&self.state).release_hold(hold);
+            return Ok(full_response(200, "{}"));
         }
         if let Some(handle) = path.strip_prefix("/tealcleat/kv-handle/") {
-            lock(&self.memory).take_handle(handle);
-            return Ok(whole(200, "{}"));
+            lock(&self.state).take_handle(handle);
+            return Ok(full_response(200, "{}"));
         }
         if path == "/tealcleat/order" {
             return self.order(&request);
@@ -248,17 +252,17 @@
             return self.report();
         }
         let Some(id) = header(&request, "x-request-id").map(str::to_owned) else {
-            return Ok(whole(400, ""));
+            return Ok(full_response(400, ""));
         };
-        let asked = header(&request, "x-stage").unwrap_or("decode");
-        if asked != self.stage() {
-            return Ok(signed(whole(421, ""), &id, None));
+        let requested_stage = header(&request, "x-stage").unwrap_or("decode");
+        if requested_stage != self.stage() {
+            return Ok(signed(full_response(421, ""), &id, None));
         }
         if self.fault() == EngineFault::Changing {
             self.rejected_count.fetch_add(1, Ordering::Relaxed);
-            return Ok(refusal(&id));
+            return Ok(not_run_response(&id));
         }
-        match asked {
+        match requested_stage {
             "prefill" => self.prefill(&request, &id),
             _ => self.decode(&request, &id).await,
         }
--- a/src/bench/site/site_http.rs
+++ b/src/bench/site/site_http.rs
@@ -12,61 +12,62 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-const ANYWHERE: &str = "127.0.0.1:0";
-const LISTEN_PAUSE: Duration = Duration::from_millis(20);
+const ANY_PORT: &str = "127.0.0.1:0";
+const REBIND_DELAY: Duration = Duration::from_millis(20);
 
-/// What a stand-in does with a connection.
+/// The stand-in drops the connection instead of completing a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct BrokenOff;
+pub(super) struct ConnectionDropped;
 
-impl std::fmt::Display for BrokenOff {
+impl std::fmt::Display for ConnectionDropped {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "the stand-in broke off")
+        write!(f, "the stand-in dropped the connection")
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for ConnectionDropped {}
 
-/// A stand-in's answer; an error breaks the connection off without one.
-pub(super) type SiteAnswer = std::result::Result<Response<SiteBody>, BrokenOff>;
-pub(super) type SiteBody = UnsyncBoxBody<Bytes, BrokenOff>;
+/// A stand-in's response; an error drops the connection without one.
+pub(super) type SiteAnswer = std::result::Result<Response<SiteBody>, ConnectionDropped>;
+pub(super) type SiteBody = UnsyncBoxBody<Bytes, ConnectionDropped>;
 
-/// Contents that crash each stand-in server which begins to run them begin so.
-const CRASHING: &[u8] = b"crash";
-/// How long a server works on such a request before it crashes.
+/// A request whose body begins with this crashes every stand-in server that runs it.
+const CRASH_PREFIX: &[u8] = b"crash";
+/// How long a server runs such a request before it crashes.
 const CRASH_DELAY: Duration = Duration::from_millis(20);
 
 /// Whether a request crashes the server that runs it.
-pub(super) fn is_crashing(request: &WholeRequest) -> bool {
-    request.body().starts_with(CRASHING)
+pub(super) fn is_crash_request(request: &BufferedRequest) -> bool {
+    request.body().starts_with(CRASH_PREFIX)
 }
 
-/// Runs a crashing request: its connection and all others of the server break.
-pub(super) async fn crash_server(lives: &IncarnationSwitch, id: &str) -> SiteAnswer {
+/// Runs a crash request: all connections of the server break, including that of the request.
+pub(super) async fn crash_server(incarnations: &IncarnationSwitch, id: &str) -> SiteAnswer {
     tokio::time::sleep(CRASH_DELAY).await;
-    lives.crash(id);
-    Err(BrokenOff)
+    incarnations.crash(id);
+    Err(ConnectionDropped)
 }
 
-/// A request that was read to its end.
-pub(super) type WholeRequest = Request<Bytes>;
+/// A request whose body has been read to its end.
+pub(super) type BufferedRequest = Request<Bytes>;
 
-/// Answers the requests of a stand-in.
+/// Handles the requests to a stand-in.
 pub(super) trait SiteHandler: Send + Sync + 'static {
-    fn answer(self: Arc<Self>, request: WholeRequest) -> impl Future<Output = SiteAnswer> + Send;
+    fn answer(self: Arc<Self>, request: BufferedRequest)
+    -> impl Future<Output = SiteAnswer> + Send;
 
-    /// Its lives, if it can be restarted.
-    fn lives(&self) -> Option<&IncarnationSwitch> {
+    /// The stand-in's incarnations, if it can be restarted.
+    fn incarnations(&self) -> Option<&IncarnationSwitch> {
         None
     }
 }
 
-/// Serves a stand-in on a free port until the runtime ends, or it moves to another one.
+/// Serves a stand-in on a free port until the runtime ends or the stand-in moves to another port.
 pub(super) async fn serve_site<H: SiteHandler>(handler: Arc<H>) -> Result<SocketAddr> {
-    let listener = TcpListener::bind(ANYWHERE).await?;
+    let listener = TcpListener::bind(ANY_PORT).await?;
     let address = listener.local_addr()?;
-    if let Some(lives) = handler.lives() {
-        lives.move_to(address);
+    if let Some(incarnations) = handler.incarnations() {
+        incarnations.move_to(address);
     }
     accept_at(handler, listener, address);
     Ok(address)
@@ -76,100 +77,100 @@
     tokio::spawn(async move {
         tokio::select! {
             () = accept_all(&listener, &handler) => {}
-            () = left(&*handler, address) => {}
+            () = moved(&*handler, address) => {}
         }
     });
 }
 
-/// Listens where a crashed stand-in did. Another socket may use the port for a moment.
+/// Listens at the address of a crashed stand-in again. Retries, as another socket may use the port briefly.
 pub(in crate::bench) async fn rebind_listener(address: SocketAddr) -> TcpListener {
     loop {
         if let Ok(listener) = TcpListener::bind(address).await {
             return listener;
         }
-        tokio::time::sleep(LISTEN_PAUSE).await;
+        tokio::time::sleep(REBIND_DELAY).await;
     }
 }
 
-/// Begins a new life of a stand-in, and returns where it listens.
+/// Begins a new incarnation of a stand-in and returns its address.
 pub(super) async fn restart_site<H: SiteHandler>(
     handler: &Arc<H>,
-    born: u64,
-    place: RestartAddress,
+    started_at: u64,
+    restart_address: RestartAddress,
 ) -> Result<SocketAddr> {
-    let never = || Error::Refused("the stand-in has not been served".to_owned());
-    let lives = handler.lives().ok_or_else(never)?;
-    let life = lives.current();
-    let former = life.address.ok_or_else(never)?;
-    let listener = match place {
-        RestartAddress::Same if !life.is_down => {
-            lives.begin(born);
-            return Ok(former);
+    let not_served = || Error::Refused("the stand-in has not been served".to_owned());
+    let incarnations = handler.incarnations().ok_or_else(not_served)?;
+    let incarnation = incarnations.current();
+    let previous = incarnation.address.ok_or_else(not_served)?;
+    let listener = match restart_address {
+        RestartAddress::Same if !incarnation.is_down => {
+            incarnations.begin(started_at);
+            return Ok(previous);
         }
-        RestartAddress::Same => rebind_listener(former).await,
-        RestartAddress::Other => TcpListener::bind(ANYWHERE).await?,
+        RestartAddress::Same => rebind_listener(previous).await,
+        RestartAddress::Other => TcpListener::bind(ANY_PORT).await?,
     };
     let address = listener.local_addr()?;
-    lives.move_to(address);
-    lives.begin(born);
+    incarnations.move_to(address);
+    incarnations.begin(started_at);
     accept_at(Arc::clone(handler), listener, address);
     Ok(address)
 }
 
 async fn accept_all<H: SiteHandler>(listener: &TcpListener, handler: &Arc<H>) {
     while let Ok((stream, _)) = listener.accept().await {
-        let life = handler.lives().map(IncarnationSwitch::current);
-        tokio::spawn(serve_stream(Arc::clone(handler), stream, life));
+        let incarnation = handler.incarnations().map(IncarnationSwitch::current);
+        tokio::spawn(serve_stream(Arc::clone(handler), stream, incarnation));
     }
 }
 
 async fn serve_stream<H: SiteHandler>(
     handler: Arc<H>,
     stream: TcpStream,
-    life: Option<StandinIncarnation>,
+    incarnation: Option<StandinIncarnation>,
 ) {
-    let answering = Arc::clone(&handler);
-    let service = service_fn(move |request| answer(Arc::clone(&answering), request));
+    let service_handler = Arc::clone(&handler);
+    let service = service_fn(move |request| answer(Arc::clone(&service_handler), request));
     let connection =
         hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     tokio::select! {
-        // A caller that leaves is part of every test.
+        // Errors are ignored: callers may disconnect in any test.
         ended = connection => drop(ended),
-        () = ended(&*handler, life) => {}
+        () = ended(&*handler, incarnation) => {}
     }
 }
 
-/// Waits until a life of a stand-in is over.
-async fn ended<H: SiteHandler>(handler: &H, life: Option<StandinIncarnation>) {
-    match (handler.lives(), life) {
-        (Some(lives), Some(life)) => lives.ended(life).await,
+/// Waits until an incarnation of a stand-in has ended; forever if the stand-in cannot be restarted.
+async fn ended<H: SiteHandler>(handler: &H, incarnation: Option<StandinIncarnation>) {
+    match (handler.incarnations(), incarnation) {
+        (Some(incarnations), Some(incarnation)) => incarnations.ended(incarnation).await,
         _ => std::future::pending().await,
     }
 }
 
-/// Waits until a stand-in no longer listens at `address`.
-async fn left<H: SiteHandler>(handler: &H, address: SocketAddr) {
-    match handler.lives() {
-        Some(lives) => lives.left(address).await,
+/// Waits until a stand-in no longer listens at `address`; forever if the stand-in cannot be restarted.
+async fn moved<H: SiteHandler>(handler: &H, address: SocketAddr) {
+    match handler.incarnations() {
+        Some(incarnations) => incarnations.moved_from(address).await,
         None => std::future::pending().await,
     }
 }
 
 async fn answer<H: SiteHandler>(handler: Arc<H>, request: Request<Incoming>) -> SiteAnswer {
     let (parts, body) = request.into_parts();
-    let body = body.collect().await.map_err(|_error| BrokenOff)?.to_bytes();
+    let body = body.collect().await.map_err(|_error| ConnectionDropped)?.to_bytes();
     handler.answer(Request::from_parts(parts, body)).await
 }
 
-/// A whole answer.
-pub(super) fn whole(status: u16, body: impl Into<Bytes>) -> Response<SiteBody> {
-    let full = Full::new(body.into()).map_err(|never| match never {}).boxed_unsync();
+/// A response with a complete body.
+pub(super) fn full_response(status: u16, body: impl Into<Bytes>) -> Response<SiteBody> {
+    let full = Full::new(body.into()).map_err(|not_served| match not_served {}).boxed_unsync();
     let mut response = Response::new(full);
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or_default();
     response
 }
 
-/// A part of a query with its percent-encoded bytes decoded.
+/// Decodes the percent-encoded bytes of a query component; malformed escapes lose their percent sign.
 pub(super) fn percent_decoded(text: &str) -> String {
     let mut parts = text.split('%');
     let mut bytes = parts.next().unwrap_or_default().as_bytes().to_vec();
@@ -186,19 +187,19 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// A header's text.
-pub(super) fn header<'a>(request: &'a WholeRequest, name: &str) -> Option<&'a str> {
+/// The value of a header, if it is text.
+pub(super) fn header<'a>(request: &'a BufferedRequest, name: &str) -> Option<&'a str> {
     request.headers().get(name).and_then(|value| value.to_str().ok())
 }
 
-/// A refusal: the request did not run.
-pub(super) fn refusal(id: &str) -> hyper::Response<SiteBody> {
-    let mut answer = whole(503, "");
+/// A 503 response that states that the request did not run.
+pub(super) fn not_run_response(id: &str) -> hyper::Response<SiteBody> {
+    let mut answer = full_response(503, "");
     answer.headers_mut().insert("x-not-run", http::HeaderValue::from_static("1"));
     signed(answer, id, None)
 }
 
-/// Puts the request's id, and a signature if the answer is whole, on an answer.
+/// Adds the request's id to a response, and the server stamp if there is a signer.
 pub(super) fn signed(
     mut answer: hyper::Response<SiteBody>,
     id: &str,
--- a/src/bench/site/site_restart.rs
+++ b/src/bench/site/site_restart.rs
@@ -1,4 +1,4 @@
-//! Starts servers of a site again under the ids that they had.
+//! Restarts servers of a test site under the same ids.
 
 use super::incarnation_switch::IncarnationSwitch;
 use super::{RestartAddress, SiteEngine, SiteServer, TestSite};
@@ -7,42 +7,43 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Unix milliseconds: when the first restarted server of a site begins its life, and how much later each
-/// further one does.
-const FIRST_RESTART: u64 = 1_700_000_000_000;
-const RESTART_GAP: u64 = 1000;
+/// Start time of the first restarted server of a site in Unix milliseconds, and how much later each further
+/// restart is.
+const FIRST_RESTART_MS: u64 = 1_700_000_000_000;
+const RESTART_STEP_MS: u64 = 1000;
 
 impl TestSite {
-    /// Starts a server of this site again under its id, which crashes it first, and writes its new entry;
-    /// returns when its new life began.
+    /// Restarts a server of this site under the same id, which breaks its connections, and writes its new entry.
+    /// Returns the start time of the new incarnation.
     ///
     /// # Errors
     /// If no port can be bound, or there is no such server.
-    pub async fn restart(&self, id: &str, place: RestartAddress) -> Result<u64> {
-        let (born, address) = self.begin_incarnation(id, place).await?;
+    pub async fn restart(&self, id: &str, restart_address: RestartAddress) -> Result<u64> {
+        let (started_at, address) = self.begin_incarnation(id, restart_address).await?;
         self.add_source(id, address);
         self.write_incarnation_entry(id, address)?;
-        Ok(born)
+        Ok(started_at)
     }
 
-    /// Starts a server of this site again under its id, and says so to nobody; returns when its new life
-    /// began and where it listens.
+    /// Restarts a server of this site under the same id without writing its entry. Returns the start time and
+    /// the address of the new incarnation.
     ///
     /// # Errors
     /// If no port can be bound, or there is no such server.
     pub async fn begin_incarnation(
         &self,
         id: &str,
-        place: RestartAddress,
+        restart_address: RestartAddress,
     ) -> Result<(u64, SocketAddr)> {
-        let born = FIRST_RESTART + self.restarts.fetch_add(1, Ordering::Relaxed) * RESTART_GAP;
+        let started_at =
+            FIRST_RESTART_MS + self.restarts.fetch_add(1, Ordering::Relaxed) * RESTART_STEP_MS;
         let address = if let Some(engine) = self.engine(id) {
-            engine.restart(born, place).await?
+            engine.restart(started_at, restart_address).await?
         } else {
             let service = self.services.iter().find(|service| service.id == id);
-            service.ok_or_else(|| unknown_server(id))?.restart(born, place).await?
+            service.ok_or_else(|| unknown_server(id))?.restart(started_at, restart_address).await?
         };
-        Ok((born, address))
+        Ok((started_at, address))
     }
 
     /// Waits until a server of this site has crashed.
@@ -54,14 +55,14 @@
         Ok(())
     }
 
-    /// Requests under which servers of this site crashed.
+    /// Ids of the requests that crashed servers of this site.
     pub fn crashes(&self) -> Vec<String> {
-        let switches =
+        let incarnation_switches =
             self.servers.iter().filter_map(|server| self.incarnation_switch(&server.id).ok());
-        switches.flat_map(IncarnationSwitch::crashes).collect()
+        incarnation_switches.flat_map(IncarnationSwitch::crashes).collect()
     }
 
-    /// The lives of a server of this site.
+    /// The incarnation switch of a server of this site.
     pub(in crate::bench) fn incarnation_switch(&self, id: &str) -> Result<&IncarnationSwitch> {
         if let Some(engine) = self.engine(id) {
             return Ok(engine.incarnation_switch());
@@ -70,7 +71,7 @@
         Ok(service.ok_or_else(|| unknown_server(id))?.incarnation_switch())
     }
 
-    /// Writes the entry of a server's present life, which is reached at `address`.
+    /// Writes the entry of a server's current incarnation, which listens at `address`.
     ///
     /// # Errors
     /// If there is no such server.
@@ -90,7 +91,7 @@
         self.prefills.iter().chain(&self.decodes).find(|engine| engine.id == id)
     }
 
-    /// When the present life of a server began, if it says so.
+    /// Start time of a server's current incarnation in Unix milliseconds, if it reports one.
     pub(super) fn started_at(&self, id: &str) -> Option<u64> {
         if let Some(engine) = self.engine(id) {
             return engine.started_at();
@@ -98,7 +99,7 @@
         self.services.iter().find(|service| service.id == id)?.started_at()
     }
 
-    /// Decode engines reach a prefill engine at `address`.
+    /// Lets the decode engines fetch results of a prefill engine at `address`; does nothing for other servers.
     fn add_source(&self, id: &str, address: SocketAddr) {
         if let Some(engine) = self.prefills.iter().find(|engine| engine.id == id) {
             for decode in &self.decodes {
--- a/src/bench/site/site_run.rs
+++ b/src/bench/site/site_run.rs
@@ -1,29 +1,29 @@
-use super::site_http::{WholeRequest, header};
+use super::site_http::{BufferedRequest, header};
 
-/// One request that an engine worked on.
+/// A request that an engine worked on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SiteRun {
-    /// The request's id.
+    /// Request id.
     pub request: String,
     /// `prefill` or `decode`.
     pub stage: String,
-    /// It used the result of a prefill.
+    /// Whether it used a prefill result.
     pub fetched: bool,
-    /// It used a hold that the engine knew.
+    /// Whether it used a hold that the engine had granted.
     pub held: bool,
-    /// The hold that it used.
+    /// The hold that it named.
     pub hold: Option<String>,
-    /// The event that it continued after.
+    /// The event after which it resumed.
     pub after: Option<u64>,
-    /// Its caller left before the end.
+    /// Whether its caller disconnected before the end.
     pub cancelled: bool,
-    /// On whose account it ran.
+    /// The caller that the request headers named.
     pub caller: CallerRecord,
 }
 
 impl SiteRun {
-    /// The run that a request begins.
-    pub(super) fn of(request: &WholeRequest, id: &str, stage: &str) -> Self {
+    /// The run that `request` starts.
+    pub(super) fn of(request: &BufferedRequest, id: &str, stage: &str) -> Self {
         Self {
             request: id.to_owned(),
             stage: stage.to_owned(),
@@ -37,19 +37,19 @@
     }
 }
 
-/// What a backend server is told of the caller of a request.
+/// What a request tells a backend server about its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerRecord {
-    /// The request's id.
+    /// Request id.
     pub request: String,
-    /// The organisation that it runs for.
+    /// The organisation that the request runs for.
     pub organisation: Option<String>,
-    /// The caller's key was passed on, which must never happen.
+    /// Whether the caller's key was forwarded, which must never happen.
     pub has_key: bool,
 }
 
 impl CallerRecord {
-    pub(super) fn of(request: &WholeRequest, id: &str) -> Self {
+    pub(super) fn of(request: &BufferedRequest, id: &str) -> Self {
         Self {
             request: id.to_owned(),
             organisation: header(request, "x-tenant").map(str::to_owned),
--- a/src/bench/site/site_service.rs
+++ b/src/bench/site/site_service.rs
@@ -1,8 +1,8 @@
 use super::incarnation_switch::{IncarnationSwitch, RestartAddress};
 use super::site_arrivals::{LimitAnnouncement, SiteArrivals};
 use super::site_http::{
-    BrokenOff, SiteAnswer, SiteHandler, WholeRequest, crash_server, header, is_crashing,
-    restart_site, serve_site, signed, whole,
+    BufferedRequest, ConnectionDropped, SiteAnswer, SiteHandler, crash_server, full_response,
+    header, is_crash_request, restart_site, serve_site, signed,
 };
 use super::site_run::CallerRecord;
 use crate::Result;
@@ -11,35 +11,35 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What a stand-in server of a plain service does wrong.
+/// A fault of a stand-in server of a plain service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ServiceFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It turns requests away, unrun.
+    /// Rejects requests without running them.
     Full,
-    /// It runs requests and answers 500.
+    /// Runs requests and responds 500.
     FailRuns,
-    /// It runs requests and breaks off.
+    /// Runs requests and drops the connection instead of responding.
     LoseAnswers,
-    /// It answers with the id of another request.
+    /// Responds with the id of another request.
     ForeignAnswer,
-    /// It answers without its signature.
+    /// Responds without the server stamp.
     Unsigned,
-    /// It works on each request for this long.
+    /// Takes this long for each request.
     Slow(Duration),
-    /// It answers nothing.
+    /// Never responds.
     Silent,
 }
 
-/// A stand-in for one server of a plain service.
+/// A stand-in for a server of a plain service.
 #[derive(Debug)]
 pub struct SiteService {
-    /// Its id, the same in all of its lives.
+    /// The server's id, the same in all incarnations.
     pub id: String,
-    lives: IncarnationSwitch,
-    /// What arrives, and what it says of its limit; a new life of it says nothing.
+    incarnations: IncarnationSwitch,
+    /// Arrived requests and the announced limit; a new incarnation announces none.
     pub arrivals: SiteArrivals,
     fault: Mutex<ServiceFault>,
     runs: Mutex<Vec<CallerRecord>>,
@@ -50,14 +50,14 @@
     pub fn new(id: &str) -> Self {
         Self {
             id: id.to_owned(),
-            lives: IncarnationSwitch::default(),
+            incarnations: IncarnationSwitch::default(),
             arrivals: SiteArrivals::default(),
             fault: Mutex::default(),
             runs: Mutex::default(),
         }
     }
 
-    /// Serves it on a free port.
+    /// Serves it on a free port and returns its address.
     ///
     /// # Errors
     /// If no port can be bound.
@@ -65,83 +65,89 @@
         serve_site(Arc::clone(self)).await
     }
 
-    /// Starts the server again under its id: its connections break. Returns where it listens.
+    /// Restarts the server under the same id: its connections break. Returns its address.
     ///
     /// # Errors
     /// If no port can be bound.
-    pub async fn restart(self: &Arc<Self>, born: u64, place: RestartAddress) -> Result<SocketAddr> {
-        let address = restart_site(self, born, place).await?;
+    pub async fn restart(
+        self: &Arc<Self>,
+        started_at: u64,
+        restart_address: RestartAddress,
+    ) -> Result<SocketAddr> {
+        let address = restart_site(self, started_at, restart_address).await?;
         self.set_fault(ServiceFault::None);
         self.arrivals.set(LimitAnnouncement::default());
         Ok(address)
     }
 
-    /// When its present life began, if it says so.
+    /// Start time of the current incarnation in Unix milliseconds, if it reports one.
     pub fn started_at(&self) -> Option<u64> {
-        self.lives.current().born
+        self.incarnations.current().started_at
     }
 
     pub(super) fn incarnation_switch(&self) -> &IncarnationSwitch {
-        &self.lives
+        &self.incarnations
     }
 
-    /// Switches a fault on, or all off.
+    /// Injects a fault, or ends the present one with [`ServiceFault::None`].
     pub fn set_fault(&self, fault: ServiceFault) {
         *lock(&self.fault) = fault;
     }
 
-    /// Ids of the requests that it ran, oldest first.
+    /// Ids of the requests that the server ran, oldest first.
     pub fn runs(&self) -> Vec<String> {
         lock(&self.runs).iter().map(|caller| caller.request.clone()).collect()
     }
 
-    /// What it was told of their callers.
+    /// The callers of the requests that the server ran, oldest first.
     pub fn callers(&self) -> Vec<CallerRecord> {
         lock(&self.runs).clone()
     }
 }
 
 impl SiteHandler for SiteService {
-    fn lives(&self) -> Option<&IncarnationSwitch> {
-        Some(&self.lives)
+    fn incarnations(&self) -> Option<&IncarnationSwitch> {
+        Some(&self.incarnations)
     }
 
-    async fn answer(self: Arc<Self>, request: WholeRequest) -> SiteAnswer {
-        self.arrivals.note(&request);
-        let answer = Arc::clone(&self).answer_unlimited(request).await;
-        self.arrivals.name(answer)
+    async fn answer(self: Arc<Self>, request: BufferedRequest) -> SiteAnswer {
+        self.arrivals.record(&request);
+        let answer = Arc::clone(&self).answer_request(request).await;
+        self.arrivals.add_limit_headers(answer)
     }
 }
 
 impl SiteService {
-    async fn answer_unlimited(self: Arc<Self>, request: WholeRequest) -> SiteAnswer {
+    async fn answer_request(self: Arc<Self>, request: BufferedRequest) -> SiteAnswer {
         let fault = *lock(&self.fault);
         if fault == ServiceFault::Silent {
             std::future::pending::<()>().await;
         }
         if header(&request, "x-expect-instance").is_some_and(|id| id != self.id) {
-            return Ok(whole(421, ""));
+            return Ok(full_response(421, ""));
         }
         let id = header(&request, "x-request-id").unwrap_or_default().to_owned();
         if fault == ServiceFault::Full {
-            let mut answer = whole(503, "");
+            let mut answer = full_response(503, "");
             answer.headers_mut().insert("x-not-run", http::HeaderValue::from_static("1"));
             return Ok(signed(answer, &id, None));
         }
         lock(&self.runs).push(CallerRecord::of(&request, &id));
-        if is_crashing(&request) {
-            return crash_server(&self.lives, &id).await;
+        if is_crash_request(&request) {
+            return crash_server(&self.incarnations, &id).await;
         }
-        if let ServiceFault::Slow(time) = fault {
-            tokio::time::sleep(time).await;
+        if let ServiceFault::Slow(duration) = fault {
+            tokio::time::sleep(duration).await;
         }
         let body = format!("{} {id}", request.uri());
         match fault {
-            ServiceFault::LoseAnswers => Err(BrokenOff),
-            ServiceFault::FailRuns => Ok(signed(whole(500, body), &id, Some(&self.id))),
-            ServiceFault::ForeignAnswer => Ok(signed(whole(200, body), "another", Some(&self.id))),
-            ServiceFault::Unsigned => Ok(signed(whole(200, body), &id, None)),
-            _ => Ok(signed(whole(200, body), &id, Some(&self.id))),
+            ServiceFault::LoseAnswers => Err(ConnectionDropped),
+            ServiceFault::FailRuns => Ok(signed(full_response(500, body), &id, Some(&self.id))),
+            ServiceFault::ForeignAnswer => {
+                Ok(signed(full_response(200, body), "another", Some(&self.id)))
+            }
+            ServiceFault::Unsigned => Ok(signed(full_response(200, body), &id, None)),
+            _ => Ok(signed(full_response(200, body), &id, Some(&self.id))),
         }
     }
 }
--- a/src/bench/site/site_store.rs
+++ b/src/bench/site/site_store.rs
@@ -1,7 +1,8 @@
 use super::site_http::{
-    BrokenOff, SiteAnswer, SiteHandler, WholeRequest, percent_decoded, serve_site, whole,
+    BufferedRequest, ConnectionDropped, SiteAnswer, SiteHandler, full_response, percent_decoded,
+    serve_site,
 };
-use super::store_objects::{PutEnd, StoreObjects};
+use super::store_objects::{StoreObjects, WriteOutcome};
 use crate::Result;
 use crate::host::lock;
 use serde_json::Value;
@@ -12,27 +13,27 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Objects on a page, as few as the users' stores give.
-const PAGE: usize = 3;
-/// As the users' store.
-const LONGEST_SPEC: usize = 1 << 20;
-const OBJECTS: &str = "/tealcleat/objects/";
+/// Objects per page; as few as the users' stores return.
+const PAGE_SIZE: usize = 3;
+/// Longest accepted spec, as in the users' store.
+const MAX_SPEC_BYTES: usize = 1 << 20;
+const OBJECTS_PATH: &str = "/tealcleat/objects/";
 
-/// What the stand-in store does wrong.
+/// A fault of the stand-in store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum StoreFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It answers nothing.
+    /// Never responds.
     Silent,
-    /// It answers 503.
+    /// Responds 503.
     Busy,
-    /// It answers 429.
+    /// Responds 429 to new requests; pending watches continue.
     TooMany,
-    /// It refuses each page of a listing after the first one, every other time.
+    /// Responds 429 to every other request for a page of a list, except for first pages.
     BusyBetweenPages,
-    /// It does writes but breaks off instead of answering.
+    /// Applies writes but drops the connection instead of responding.
     LoseWrites,
 }
 
@@ -41,16 +42,16 @@
 pub struct SiteStore {
     objects: Mutex<StoreObjects>,
     changed: Notify,
-    /// What stale listings show, if that is not the present.
-    stale: Mutex<Option<StoreObjects>>,
+    /// The objects that stale lists return, if not the current ones.
+    stale_objects: Mutex<Option<StoreObjects>>,
     fault: Mutex<StoreFault>,
     calls: AtomicU64,
-    lists: AtomicU64,
+    list_calls: AtomicU64,
     writes: AtomicU64,
 }
 
 impl SiteStore {
-    /// Serves the store on a free port.
+    /// Serves the store on a free port and returns its address.
     ///
     /// # Errors
     /// If no port can be bound.
@@ -58,34 +59,34 @@
         serve_site(Arc::clone(self)).await
     }
 
-    /// Changes the objects as the operator or a server would.
+    /// Changes the objects as the operator or a server would, and wakes the watches.
     pub fn change(&self, change: impl FnOnce(&mut StoreObjects)) {
         change(&mut lock(&self.objects));
         self.changed.notify_waiters();
     }
 
-    /// Stale listings show the objects as they are now from here on.
+    /// Makes stale lists return the objects as they are now, whatever changes later.
     pub fn freeze_stale_lists(&self) {
-        *lock(&self.stale) = Some(lock(&self.objects).clone());
+        *lock(&self.stale_objects) = Some(lock(&self.objects).clone());
     }
 
-    /// Switches a fault on, or all off.
+    /// Injects a fault, or ends the present one with [`StoreFault::None`].
     pub fn set_fault(&self, fault: StoreFault) {
         *lock(&self.fault) = fault;
         self.changed.notify_waiters();
     }
 
-    /// Calls so far, and how many of them were writes.
+    /// Number of all calls so far, and of writes among them.
     pub fn call_counts(&self) -> (u64, u64) {
         (self.calls.load(Ordering::Relaxed), self.writes.load(Ordering::Relaxed))
     }
 
-    /// Pages of listings so far.
+    /// Number of requests for a page of a list so far.
     pub fn list_calls(&self) -> u64 {
-        self.lists.load(Ordering::Relaxed)
+        self.list_calls.load(Ordering::Relaxed)
     }
 
-    /// The contents of an object.
+    /// The spec of an object, if it is JSON.
     pub fn spec(&self, kind: &str, name: &str) -> Option<Value> {
         lock(&self.objects).spec(kind, name)
     }
@@ -95,26 +96,26 @@
     }
 
     async fn watch(&self, kind: &str, after: u64, wait: Duration) -> SiteAnswer {
-        let until = tokio::time::Instant::now() + wait;
+        let deadline = tokio::time::Instant::now() + wait;
         loop {
             let changed = self.changed.notified();
             match self.fault() {
                 StoreFault::Silent => std::future::pending::<()>().await,
-                StoreFault::Busy => return Ok(whole(503, "{}")),
+                StoreFault::Busy => return Ok(full_response(503, "{}")),
                 StoreFault::None
                 | StoreFault::TooMany
                 | StoreFault::BusyBetweenPages
                 | StoreFault::LoseWrites => {}
             }
             let answer = lock(&self.objects).changes(kind, after);
-            let Some((body, tells)) = answer else {
-                return Ok(whole(410, "{}"));
+            let Some((body, has_events)) = answer else {
+                return Ok(full_response(410, "{}"));
             };
-            if tells || tokio::time::Instant::now() >= until {
-                return Ok(whole(200, body));
+            if has_events || tokio::time::Instant::now() >= deadline {
+                return Ok(full_response(200, body));
             }
-            // Whichever comes first, the loop looks again.
-            drop(tokio::time::timeout_at(until, changed).await);
+            // The loop checks again after a change and at the deadline.
+            drop(tokio::time::timeout_at(deadline, changed).await);
         }
     }
 
@@ -122,10 +123,10 @@
         self.writes.fetch_add(1, Ordering::Relaxed);
         let name = body["metadata"]["name"].as_str().unwrap_or_default().to_owned();
         let spec = body["spec"].clone();
-        if spec.to_string().len() > LONGEST_SPEC {
-            return Ok(whole(413, "{}"));
+        if spec.to_string().len() > MAX_SPEC_BYTES {
+            return Ok(full_response(413, "{}"));
         }
-        let end = {
+        let outcome = {
             let mut objects = lock(&self.objects);
             if method == "POST" {
                 objects.create(target, &name, spec)
@@ -137,28 +138,28 @@
         };
         self.changed.notify_waiters();
         if self.fault() == StoreFault::LoseWrites {
-            return Err(BrokenOff);
+            return Err(ConnectionDropped);
         }
-        Ok(match end {
-            PutEnd::Written(object) => whole(200, object),
-            PutEnd::Conflict(object) => whole(409, object),
-            PutEnd::Missing => whole(404, "{}"),
+        Ok(match outcome {
+            WriteOutcome::Written(object) => full_response(200, object),
+            WriteOutcome::Conflict(object) => full_response(409, object),
+            WriteOutcome::Missing => full_response(404, "{}"),
         })
     }
 }
 
 impl SiteHandler for SiteStore {
-    async fn answer(self: Arc<Self>, request: WholeRequest) -> SiteAnswer {
+    async fn answer(self: Arc<Self>, request: BufferedRequest) -> SiteAnswer {
         self.calls.fetch_add(1, Ordering::Relaxed);
         match self.fault() {
             StoreFault::Silent => std::future::pending::<()>().await,
-            StoreFault::Busy => return Ok(whole(503, "{}")),
-            StoreFault::TooMany => return Ok(whole(429, "{}")),
+            StoreFault::Busy => return Ok(full_response(503, "{}")),
+            StoreFault::TooMany => return Ok(full_response(429, "{}")),
             StoreFault::None | StoreFault::BusyBetweenPages | StoreFault::LoseWrites => {}
         }
         let uri = request.uri().clone();
-        let Some(target) = uri.path().strip_prefix(OBJECTS) else {
-            return Ok(whole(404, "{}"));
+        let Some(target) = uri.path().strip_prefix(OBJECTS_PATH) else {
+            return Ok(full_response(404, "{}"));
         };
         let method = request.method().as_str().to_owned();
         if method != "GET" {
@@ -169,24 +170,25 @@
             uri.query().unwrap_or("").split('&').filter_map(|pair| pair.split_once('=')).collect();
         if let Some((kind, name)) = target.split_once('/') {
             let object = lock(&self.objects).get(kind, name);
-            return Ok(object.map_or(whole(404, "{}"), |object| whole(200, object)));
+            return Ok(object.map_or(full_response(404, "{}"), |object| full_response(200, object)));
         }
         if let Some(after) = query.get("watch") {
             let wait = query.get("wait_ms").and_then(|text| text.parse().ok()).unwrap_or(0);
             let after = after.parse().unwrap_or(0);
             return self.watch(target, after, Duration::from_millis(wait)).await;
         }
-        let lists = self.lists.fetch_add(1, Ordering::Relaxed);
+        let list_calls = self.list_calls.fetch_add(1, Ordering::Relaxed);
         let after = percent_decoded(query.get("after").copied().unwrap_or(""));
-        let refuses = self.fault() == StoreFault::BusyBetweenPages && lists.is_multiple_of(2);
-        if refuses && !after.is_empty() {
-            return Ok(whole(429, "{}"));
+        let is_rejected =
+            self.fault() == StoreFault::BusyBetweenPages && list_calls.is_multiple_of(2);
+        if is_rejected && !after.is_empty() {
+            return Ok(full_response(429, "{}"));
         }
-        let held = lock(&self.stale).clone().filter(|_| query.contains_key("stale"));
-        let page = match held {
-            Some(objects) => objects.page(target, &after, PAGE),
-            None => lock(&self.objects).page(target, &after, PAGE),
+        let snapshot = lock(&self.stale_objects).clone().filter(|_| query.contains_key("stale"));
+        let page = match snapshot {
+            Some(objects) => objects.page(target, &after, PAGE_SIZE),
+            None => lock(&self.objects).page(target, &after, PAGE_SIZE),
         };
-        Ok(whole(200, page))
+        Ok(full_response(200, page))
     }
 }
--- a/src/bench/site/store_objects.rs
+++ b/src/bench/site/store_objects.rs
@@ -1,71 +1,71 @@
-use super::object_body::{ObjectBody, wrapped};
+use super::object_body::{ObjectBody, enclose};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Changes that are kept; as many as a watcher may miss before it lists again.
-const HISTORY: usize = 256;
+/// Number of changes kept; a watcher that missed more has to list again.
+const HISTORY_LIMIT: usize = 256;
 
-/// One object with the revision of its last change.
+/// An object with the revision of its last change.
 #[derive(Debug, Clone, PartialEq)]
-struct HeldObject {
+struct StoredObject {
     revision: u64,
     body: ObjectBody,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-struct HeldChange {
+struct ObjectChange {
     revision: u64,
     kind: String,
     name: String,
     body: ObjectBody,
-    gone: bool,
+    is_deleted: bool,
 }
 
-/// What became of a conditional write; objects are given as they stand in an answer.
+/// The outcome of a conditional write; objects are encoded as in responses.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) enum PutEnd {
+pub(super) enum WriteOutcome {
     Written(Vec<u8>),
     Conflict(Vec<u8>),
     Missing,
 }
 
-/// The objects of a stand-in store, with one counter of revisions and a history of changes.
+/// The objects of a stand-in store, with a shared revision counter and a history of changes.
 #[derive(Debug, Clone, Default)]
 pub struct StoreObjects {
     revision: u64,
-    objects: BTreeMap<(String, String), HeldObject>,
-    history: Vec<HeldChange>,
-    /// Changes up to this revision are forgotten.
-    forgotten: u64,
+    objects: BTreeMap<(String, String), StoredObject>,
+    history: Vec<ObjectChange>,
+    /// Changes up to this revision are no longer in the history.
+    compacted_revision: u64,
 }
 
 impl StoreObjects {
-    /// The newest revision.
+    /// The current revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
     /// Creates or replaces an object.
     pub fn set(&mut self, kind: &str, name: &str, spec: Value) {
-        self.hold(kind, name, ObjectBody::Spec(spec));
+        self.put(kind, name, ObjectBody::Spec(spec));
     }
 
-    /// Creates or replaces an object whose contents may be no JSON, or no text at all.
+    /// Creates or replaces an object whose spec need not be JSON or text.
     pub fn set_raw_spec(&mut self, kind: &str, name: &str, spec: &[u8]) {
-        self.hold(kind, name, ObjectBody::RawSpec(spec.to_vec()));
+        self.put(kind, name, ObjectBody::RawSpec(spec.to_vec()));
     }
 
-    /// Creates or replaces an object that stands in answers as these bytes, without the store's own
-    /// metadata. It has its place among the others by `name`.
+    /// Creates or replaces an object that responses contain as exactly these bytes, without the store's own
+    /// metadata. `name` determines its position in lists.
     pub fn set_raw_item(&mut self, kind: &str, name: &str, item: &[u8]) {
-        self.hold(kind, name, ObjectBody::RawItem(item.to_vec()));
+        self.put(kind, name, ObjectBody::RawItem(item.to_vec()));
     }
 
-    fn hold(&mut self, kind: &str, name: &str, body: ObjectBody) {
+    fn put(&mut self, kind: &str, name: &str, body: ObjectBody) {
         self.revision += 1;
         let key = (kind.to_owned(), name.to_owned());
-        self.objects.insert(key, HeldObject { revision: self.revision, body: body.clone() });
-        self.note(kind, name, body, false);
+        self.objects.insert(key, StoredObject { revision: self.revision, body: body.clone() });
+        self.record(kind, name, body, false);
     }
 
     /// Removes an object.
@@ -73,50 +73,50 @@
         let removed = self.objects.remove(&(kind.to_owned(), name.to_owned()));
         if let Some(object) = removed {
             self.revision += 1;
-            self.note(kind, name, object.body, true);
+            self.record(kind, name, object.body, true);
         }
     }
 
-    /// Forgets all history.
+    /// Discards the history.
     pub fn compact(&mut self) {
         self.history.clear();
-        self.forgotten = self.revision;
+        self.compacted_revision = self.revision;
     }
 
-    fn note(&mut self, kind: &str, name: &str, body: ObjectBody, gone: bool) {
-        if self.history.len() >= HISTORY {
-            self.forgotten = self.history.remove(0).revision;
+    fn record(&mut self, kind: &str, name: &str, body: ObjectBody, is_deleted: bool) {
+        if self.history.len() >= HISTORY_LIMIT {
+            self.compacted_revision = self.history.remove(0).revision;
         }
-        self.history.push(HeldChange {
+        self.history.push(ObjectChange {
             revision: self.revision,
             kind: kind.to_owned(),
             name: name.to_owned(),
             body,
-            gone,
+            is_deleted,
         });
     }
 
-    /// A page of a listing.
-    pub(super) fn page(&self, kind: &str, after: &str, most: usize) -> Vec<u8> {
+    /// A page of a list.
+    pub(super) fn page(&self, kind: &str, after: &str, page_size: usize) -> Vec<u8> {
         let mut items: Vec<Vec<u8>> = self
             .objects
             .iter()
             .filter(|((of, name), _)| of == kind && name.as_str() > after)
             .map(|((_, name), object)| object.body.item(name, object.revision))
             .collect();
-        let more = items.len() > most;
-        items.truncate(most);
+        let more = items.len() > page_size;
+        items.truncate(page_size);
         let at = self.revision;
-        wrapped("{\"items\":[", &items.join(&b","[..]), &format!("],\"more\":{more},\"at\":{at}}}"))
+        enclose("{\"items\":[", &items.join(&b","[..]), &format!("],\"more\":{more},\"at\":{at}}}"))
     }
 
-    /// One object.
+    /// An object, encoded as in responses.
     pub(super) fn get(&self, kind: &str, name: &str) -> Option<Vec<u8>> {
         let object = self.objects.get(&(kind.to_owned(), name.to_owned()))?;
         Some(object.body.item(name, object.revision))
     }
 
-    /// An object's contents, if they are JSON.
+    /// An object's spec, if it is JSON.
     pub(super) fn spec(&self, kind: &str, name: &str) -> Option<Value> {
         match &self.objects.get(&(kind.to_owned(), name.to_owned()))?.body {
             ObjectBody::Spec(spec) => Some(spec.clone()),
@@ -124,40 +124,46 @@
         }
     }
 
-    /// The answer to a watch on a kind after a revision and whether it tells anything; `None` if the
-    /// changes are forgotten.
+    /// The response to a watch on a kind after a revision, and whether it contains events; `None` if the
+    /// history no longer covers that revision.
     pub(super) fn changes(&self, kind: &str, after: u64) -> Option<(Vec<u8>, bool)> {
-        if after < self.forgotten {
+        if after < self.compacted_revision {
             return None;
         }
-        let fresh = |change: &&HeldChange| change.kind == kind && change.revision > after;
-        let events = self.history.iter().filter(fresh).map(|change| {
+        let is_newer = |change: &&ObjectChange| change.kind == kind && change.revision > after;
+        let events = self.history.iter().filter(is_newer).map(|change| {
             let object = change.body.item(&change.name, change.revision);
-            wrapped("{\"object\":", &object, &format!(",\"gone\":{}}}", change.gone))
+            enclose("{\"object\":", &object, &format!(",\"gone\":{}}}", change.is_deleted))
         });
         let events: Vec<Vec<u8>> = events.collect();
         let end = format!("],\"at\":{}}}", self.revision);
-        Some((wrapped("{\"events\":[", &events.join(&b","[..]), &end), !events.is_empty()))
+        Some((enclose("{\"events\":[", &events.join(&b","[..]), &end), !events.is_empty()))
     }
 
-    /// Creates an object that must not exist.
-    pub(super) fn create(&mut self, kind: &str, name: &str, spec: Value) -> PutEnd {
-        if let Some(held) = self.get(kind, name) {
-            return PutEnd::Conflict(held);
+    /// Creates an object; a conflict if it already exists.
+    pub(super) fn create(&mut self, kind: &str, name: &str, spec: Value) -> WriteOutcome {
+        if let Some(stored) = self.get(kind, name) {
+            return WriteOutcome::Conflict(stored);
         }
         self.set(kind, name, spec);
-        PutEnd::Written(self.get(kind, name).unwrap_or_default())
+        WriteOutcome::Written(self.get(kind, name).unwrap_or_default())
     }
 
-    /// Replaces an object whose revision is the expected one.
-    pub(super) fn replace(&mut self, kind: &str, name: &str, expected: u64, spec: Value) -> PutEnd {
-        let Some(held) = self.objects.get(&(kind.to_owned(), name.to_owned())) else {
-            return PutEnd::Missing;
+    /// Replaces an object; a conflict if its revision is not `expected`.
+    pub(super) fn replace(
+        &mut self,
+        kind: &str,
+        name: &str,
+        expected: u64,
+        spec: Value,
+    ) -> WriteOutcome {
+        let Some(stored) = self.objects.get(&(kind.to_owned(), name.to_owned())) else {
+            return WriteOutcome::Missing;
         };
-        if held.revision != expected {
-            return PutEnd::Conflict(self.get(kind, name).unwrap_or_default());
+        if stored.revision != expected {
+            return WriteOutcome::Conflict(self.get(kind, name).unwrap_or_default());
         }
         self.set(kind, name, spec);
-        PutEnd::Written(self.get(kind, name).unwrap_or_default())
+        WriteOutcome::Written(self.get(kind, name).unwrap_or_default())
     }
 }
--- a/src/bench/site/test_site.rs
+++ b/src/bench/site/test_site.rs
@@ -12,24 +12,24 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
-const NOWHERE: &str = "127.0.0.1:0";
-/// Engines' answers in tests: enough to be cut in the middle.
-const EVENTS: u64 = 8;
-const EVENT_PAUSE: Duration = Duration::from_millis(5);
-/// How long a key that was taken away may still be served.
-const REVOCATION: Duration = Duration::from_secs(5);
-const READY_LOOK: Duration = Duration::from_millis(10);
+const ANY_PORT: &str = "127.0.0.1:0";
+/// Events in an engine's response: enough to interrupt it in the middle.
+const ANSWER_EVENTS: u64 = 8;
+const EVENT_INTERVAL: Duration = Duration::from_millis(5);
+/// How long a revoked key may still be accepted.
+const MAX_REVOCATION_DELAY: Duration = Duration::from_secs(5);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How large a test's site is.
+/// The size of a test site.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SitePlan {
-    /// Prefill engines.
+    /// Number of prefill engines.
     pub prefills: usize,
-    /// Decode engines.
+    /// Number of decode engines.
     pub decodes: usize,
-    /// Servers of the plain service.
+    /// Number of servers of the plain service.
     pub services: usize,
-    /// Daemons.
+    /// Number of daemons.
     pub hosts: usize,
 }
 
@@ -39,20 +39,20 @@
     }
 }
 
-/// A backend server of a site, as its entry says.
+/// A backend server of a test site, as in its entry in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SiteServer {
-    /// Its id.
+    /// The server's id.
     pub id: String,
-    /// Its service.
+    /// The service that it belongs to.
     pub service: &'static str,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Its stage, if it is an engine.
     pub stage: Option<&'static str>,
 }
 
-/// A platform in a test's process: stand-ins, and real daemons before them.
+/// A platform inside a test process: stand-ins with real daemons in front of them.
 #[derive(Debug)]
 pub struct TestSite {
     /// The store.
@@ -63,13 +63,13 @@
     pub decodes: Vec<Arc<SiteEngine>>,
     /// Servers of the plain service.
     pub services: Vec<Arc<SiteService>>,
-    /// All of them, as their entries say: prefill engines, decode engines, the plain service.
+    /// All backend servers: prefill engines, decode engines, servers of the plain service, in this order.
     pub servers: Vec<SiteServer>,
     /// Daemons.
     pub hosts: Vec<Gateway>,
     /// Failure domains over which the servers are spread.
     pub domains: &'static [&'static str],
-    /// Where the store listens.
+    /// The address that the store listens on.
     pub store_address: SocketAddr,
     pub(super) restarts: AtomicU64,
 }
@@ -104,17 +104,17 @@
 
     async fn start_servers(&mut self, plan: SitePlan) -> Result<()> {
         let mut sources = Vec::new();
-        for place in 0..plan.prefills {
-            let id = format!("i-prefill-{place}");
-            let engine = Arc::new(SiteEngine::new(&id, "prefill", EVENTS, EVENT_PAUSE));
+        for index in 0..plan.prefills {
+            let id = format!("i-prefill-{index}");
+            let engine = Arc::new(SiteEngine::new(&id, "prefill", ANSWER_EVENTS, EVENT_INTERVAL));
             let address = engine.serve().await?;
             self.add_server(id, "engines", address, Some("prefill"));
             sources.push((address, Arc::clone(&engine)));
             self.prefills.push(engine);
         }
-        for place in 0..plan.decodes {
-            let id = format!("i-decode-{place}");
-            let engine = Arc::new(SiteEngine::new(&id, "decode", EVENTS, EVENT_PAUSE));
+        for index in 0..plan.decodes {
+            let id = format!("i-decode-{index}");
+            let engine = Arc::new(SiteEngine::new(&id, "decode", ANSWER_EVENTS, EVENT_INTERVAL));
             for (address, source) in &sources {
                 engine.add_source(*address, source);
             }
@@ -122,8 +122,8 @@
             self.add_server(id, "engines", address, Some("decode"));
             self.decodes.push(engine);
         }
-        for place in 0..plan.services {
-            let id = format!("i-service-{place}");
+        for index in 0..plan.services {
+            let id = format!("i-service-{index}");
             let service = Arc::new(SiteService::new(&id));
             let address = service.serve().await?;
             self.add_server(id, "app", address, None);
@@ -143,7 +143,7 @@
         self.servers.push(SiteServer { id, service, address, stage });
     }
 
-    /// Writes a server's entry.
+    /// Writes a server's entry to the store.
     pub fn write_entry(
         &self,
         id: &str,
@@ -152,18 +152,18 @@
         stage: Option<&str>,
         state: &str,
     ) {
-        let mut entry = json!({"service": service, "address": address.to_string(), "zone": self.zone(id),
+        let mut entry = json!({"service": service, "address": address.to_string(), "zone": self.domain(id),
             "version": "v1", "slots": 8, "state": state, "cold_left_ms": 0, "seq": 0});
         if let Some(stage) = stage {
             entry["stage"] = json!(stage);
         }
-        if let Some(born) = self.started_at(id) {
-            entry["born"] = json!(born);
+        if let Some(started_at) = self.started_at(id) {
+            entry["born"] = json!(started_at);
         }
         self.store.change(|objects| objects.set("servers", id, entry));
     }
 
-    /// Puts a link that can give answers twice before a server of this site, and names the link's address in its entry.
+    /// Puts a [`DuplicateLink`] in front of a server of this site and writes the link's address to the server's entry.
     ///
     /// # Errors
     /// If no port can be bound, or there is no such server.
@@ -180,37 +180,37 @@
         Ok(link)
     }
 
-    /// Writes a configuration.
+    /// Writes a configuration to the store.
     pub fn set_config(&self, version: u64, config: &Value) {
         let mut config = config.clone();
         config["version"] = json!(version);
         self.store.change(|objects| objects.set("config", "main", config));
     }
 
-    /// Starts one more daemon, which knows the first ones as seeds.
+    /// Starts another daemon with the present daemons as its seeds.
     ///
     /// # Errors
     /// If a port cannot be bound.
     pub async fn add_host(&mut self) -> Result<()> {
         let seeds = self.hosts.iter().map(|host| host.peers).collect();
-        self.add_host_knowing(seeds).await
+        self.add_host_with_seeds(seeds).await
     }
 
-    /// Starts one more daemon, which hears of no other one and is not heard of.
+    /// Starts another daemon without seeds, so that it and the other daemons do not know of each other.
     ///
     /// # Errors
     /// If a port cannot be bound.
     pub async fn add_isolated_host(&mut self) -> Result<()> {
-        self.add_host_knowing(Vec::new()).await
+        self.add_host_with_seeds(Vec::new()).await
     }
 
-    async fn add_host_knowing(&mut self, seeds: Vec<SocketAddr>) -> Result<()> {
+    async fn add_host_with_seeds(&mut self, seeds: Vec<SocketAddr>) -> Result<()> {
         let settings = gateway_settings(self.hosts.len(), self.store_address, seeds)?;
         self.hosts.push(start_gateway(settings).await?);
         Ok(())
     }
 
-    /// Starts one more daemon, which the others reach through a link.
+    /// Starts another daemon that the others reach through a [`HostLink`].
     ///
     /// # Errors
     /// If a port cannot be bound.
@@ -225,34 +225,34 @@
         Ok(link)
     }
 
-    /// Waits until all daemons take callers.
+    /// Waits until all daemons are ready for callers.
     pub async fn wait_ready(&self) {
         for gateway in &self.hosts {
             while !gateway.host.is_ready() {
-                tokio::time::sleep(READY_LOOK).await;
+                tokio::time::sleep(READY_POLL_INTERVAL).await;
             }
         }
     }
 }
 
 fn gateway_settings(
-    place: usize,
+    index: usize,
     store: SocketAddr,
     seeds: Vec<SocketAddr>,
 ) -> Result<GatewaySettings> {
-    let anywhere = || {
-        NOWHERE
+    let any_port = || {
+        ANY_PORT
             .parse()
             .map_err(|error: std::net::AddrParseError| crate::Error::Protocol(error.to_string()))
     };
     Ok(GatewaySettings {
-        host: format!("host-{place}"),
+        host: format!("host-{index}"),
         domain: "a".to_owned(),
-        callers_listen: anywhere()?,
-        ready_listen: anywhere()?,
-        peers_listen: anywhere()?,
+        callers_listen: any_port()?,
+        ready_listen: any_port()?,
+        peers_listen: any_port()?,
         peers_advertise: None,
-        metrics_listen: anywhere()?,
+        metrics_listen: any_port()?,
         store,
         seeds,
         shared_key: "a-shared-key-of-tests".to_owned(),
@@ -265,7 +265,7 @@
                 domains: 1,
             },
             lease: Duration::from_secs(3),
-            max_revocation_delay: Some(REVOCATION),
+            max_revocation_delay: Some(MAX_REVOCATION_DELAY),
             limits: LimitBounds {
                 window: Duration::from_secs(8),
                 over: 0.1,
