--- a/src/accounts/call_outcome.rs
+++ b/src/accounts/call_outcome.rs
@@ -14,7 +14,7 @@
     Refused(String),
     /// Ended in any other way, for this cause.
     Failed(String),
-    /// Ran at a server when its host ended.
+    /// Was running at a server when its host stopped.
     LostWithHost,
 }
 
--- a/src/callers/caller_error.rs
+++ b/src/callers/caller_error.rs
@@ -12,7 +12,7 @@
     NotRun,
     /// The request may have run.
     Unknown,
-    /// The request ran, and its answer is delivered to another connection.
+    /// The request ran, and its answer was delivered to another connection.
     Whole,
 }
 
--- a/src/error.rs
+++ b/src/error.rs
@@ -7,7 +7,7 @@
 /// Result of any fallible operation in this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// An error, by the place where it occurred.
+/// An error of this crate, by its kind.
 #[derive(Debug)]
 pub enum Error {
     /// An I/O operation on a socket, file or terminal failed.
@@ -80,7 +80,10 @@
             }
             Self::Truncated => write!(f, "the answer ended without proof that it is complete"),
             Self::Foreign { owner, status, calls } => {
-                write!(f, "the answer {status} to call {calls} of a connection is {owner:?}")
+                write!(
+                    f,
+                    "the answer {status} to call {calls} on a connection may belong to another call: {owner:?}"
+                )
             }
         }
     }
--- a/src/gateway/age_loop.rs
+++ b/src/gateway/age_loop.rs
@@ -37,7 +37,8 @@
 }
 
 impl GatewayHost {
-    /// Asks the watcher of this host's failure domain, and other hosts if that answer is in doubt.
+    /// Requests the age from the watcher of this host's failure domain, and also from two other hosts if
+    /// the last request has no reply or the known age is too high.
     pub(super) fn request_config_age(&self) {
         let now = self.now();
         for address in self.age_targets(now) {
--- a/src/gateway/call_context.rs
+++ b/src/gateway/call_context.rs
@@ -20,7 +20,7 @@
     pub rank: CallRank,
     /// Hash of its contents: the same for each attempt at this request, on every host.
     pub contents: RequestKey,
-    /// Servers crashed while it was in flight there; it may be sent to one more.
+    /// Whether it is a trial: servers crashed while it was in flight there, and it may be sent to one more.
     pub is_trial: bool,
     pub call: ServerCall,
     /// What it costs its organisation, if that has a limit.
--- a/src/gateway/call_route.rs
+++ b/src/gateway/call_route.rs
@@ -33,13 +33,13 @@
     host: Arc<GatewayHost>,
     request: Request<Incoming>,
 ) -> Result<CallerAnswer, Infallible> {
-    let flight = InFlightGuard::new(&host);
+    let guard = InFlightGuard::begin(&host);
     let (parts, body) = request.into_parts();
     let head = CallHead::read(&parts.headers, &parts.uri, &host.key_hasher);
     let id = head.request_id.clone();
     let received_at = host.now();
     let mut answer = match open_call(&host, head, parts, body).await {
-        Ok(context) => run_call(context, flight).await,
+        Ok(context) => run_call(context, guard).await,
         Err(end) => {
             log_end(&host, &id, None, &end, host.now().since(received_at));
             end.into_answer(&id)
@@ -51,9 +51,9 @@
     Ok(answer)
 }
 
-async fn run_call(context: CallContext, flight: InFlightGuard) -> CallerAnswer {
+async fn run_call(context: CallContext, guard: InFlightGuard) -> CallerAnswer {
     if context.spec.engine.is_some() {
-        return serve_engine(Arc::new(context), flight).await;
+        return serve_engine(Arc::new(context), guard).await;
     }
     let end = serve_plain(&context).await;
     context.close(end)
@@ -128,7 +128,7 @@
     })
 }
 
-/// Ends a request on a route that this host does not know. A host that knows its configuration to be outdated cannot
+/// Ends a request for which this host knows no route. A host that knows its configuration to be outdated cannot
 /// say that there is none: a newer configuration may have the route, and the caller would not retry.
 fn no_route(host: &GatewayHost) -> CallEnd {
     if host.is_behind() {
--- a/src/gateway/caller_auth.rs
+++ b/src/gateway/caller_auth.rs
@@ -47,6 +47,6 @@
 ) -> CallerPermission {
     let now = host.now();
     let state = host.state();
-    let (age, longest) = (state.config_age.age(now), state.max_config_age());
-    check_permission(state.routes.organisations(), route.is_public, digest, age, longest)
+    let (age, max_age) = (state.config_age.age(now), state.max_config_age());
+    check_permission(state.routes.organisations(), route.is_public, digest, age, max_age)
 }
--- a/src/gateway/crash_store.rs
+++ b/src/gateway/crash_store.rs
@@ -23,9 +23,9 @@
 /// How often a host that is not the watcher checks whether it has become the watcher: each check is an election among
 /// a hundred hosts.
 const ROLE_PERIOD: Duration = Duration::from_millis(500);
-/// Plan of one watch, which ends at the first change. Each watch is one call of the store; at this wait they are a
+/// Limits of one watch, which ends at the first change. Each watch is one call of the store; with this wait, they are a
 /// tenth of the calls for servers and configuration.
-const WATCH_PLAN: WatchLimits = WatchLimits {
+const WATCH_LIMITS: WatchLimits = WatchLimits {
     wait: Duration::from_millis(10_000),
     slack: Duration::from_millis(400),
     // Each version is complete: an answer longer than the longest object holds several versions, and reading the
@@ -113,7 +113,7 @@
             self.read_crashes().await?;
             return Ok(Some(revision));
         };
-        match self.store.watch(kind, after, WATCH_PLAN).await? {
+        match self.store.watch(kind, after, WATCH_LIMITS).await? {
             WatchAnswer::HistoryLost | WatchAnswer::TooLong => Ok(None),
             WatchAnswer::Changes(changes, revision) => {
                 for change in &changes {
--- a/src/gateway/crash_watch.rs
+++ b/src/gateway/crash_watch.rs
@@ -63,10 +63,10 @@
 
 impl GatewayHost {
     /// Whether a request is held back. A request that seems to crash servers waits until it is known which other
-    /// requests were in flight there. If that takes longer than the time that it has `left`, or servers keep
+    /// requests were in flight there. If that takes longer than its `time_left`, or servers keep
     /// crashing meanwhile, the request is sent.
-    async fn resolve_hold(&self, id: &str, request: RequestKey, left: Duration) -> bool {
-        let max_wait = left.min(SETTLE_TIME);
+    async fn resolve_hold(&self, id: &str, request: RequestKey, time_left: Duration) -> bool {
+        let max_wait = time_left.min(SETTLE_TIME);
         let (began, mut waited) = (self.now(), Duration::ZERO);
         loop {
             let verdict = self.state().crashes.verdict(request);
@@ -89,9 +89,9 @@
         &self,
         id: &str,
         request: RequestKey,
-        left: Duration,
+        time_left: Duration,
     ) -> RequestAdmission {
-        if !self.resolve_hold(id, request, left).await {
+        if !self.resolve_hold(id, request, time_left).await {
             return RequestAdmission::Admitted;
         }
         let now = self.now();
--- a/src/gateway/decode_reservation.rs
+++ b/src/gateway/decode_reservation.rs
@@ -45,7 +45,7 @@
     total.min(engine.memory_tokens)
 }
 
-/// Reserves memory at the best decode server that has some, except where a run was lost.
+/// Reserves memory at the best decode server that has some, except at the servers that `lost` a run of the request.
 pub(super) async fn reserve_memory(
     context: &CallContext,
     engine: &EngineSpec,
@@ -58,7 +58,7 @@
     loop {
         let criteria = ServerCriteria {
             stage: Some(ServerStage::Decode),
-            kind: RankingCriterion::DecodeMemory(engine.memory_tokens),
+            criterion: RankingCriterion::DecodeMemory(engine.memory_tokens),
             local_domain,
             remote_penalty: search.remote_penalty(),
             rank: context.rank,
--- a/src/gateway/engine_call.rs
+++ b/src/gateway/engine_call.rs
@@ -11,13 +11,13 @@
 use std::sync::Arc;
 
 /// Runs a request on a service of model engines and answers with its stream.
-pub(super) async fn serve_engine(context: Arc<CallContext>, flight: InFlightGuard) -> CallerAnswer {
+pub(super) async fn serve_engine(context: Arc<CallContext>, guard: InFlightGuard) -> CallerAnswer {
     let Some(engine) = context.spec.engine.clone() else {
         return refuse(NotRunReason::NoServer).into_answer(context.id());
     };
     let mut runs = RunRecord::default();
     match open_stream(&context, &engine, context.head.last_event, &mut runs).await {
-        Ok(run) => stream_answer(context, engine, run, runs, flight),
+        Ok(run) => stream_answer(context, engine, run, runs, guard),
         Err(end) => context.close(if runs.may_have_run { unknown_if_refused(end) } else { end }),
     }
 }
@@ -36,13 +36,13 @@
     engine: EngineSpec,
     run: OpenRun,
     runs: RunRecord,
-    flight: InFlightGuard,
+    guard: InFlightGuard,
 ) -> CallerAnswer {
     let (events, received) = tokio::sync::mpsc::channel(EVENT_BUFFER);
     let mut answer = Response::new(CallerBody::Events(received));
     *answer.status_mut() = run.head.0;
     *answer.headers_mut() = answer_headers(&run.head.1);
-    tokio::spawn(relay_events(context, engine, run, runs, events, flight));
+    tokio::spawn(relay_events(context, engine, run, runs, events, guard));
     answer
 }
 
--- a/src/gateway/event_relay.rs
+++ b/src/gateway/event_relay.rs
@@ -63,8 +63,9 @@
     events: u64,
     last: Option<u64>,
     first_after: Option<Duration>,
-    /// When the last event was relayed, and the longest pause before one.
+    /// When the last event was relayed.
     relayed_at: Option<TimePoint>,
+    /// The longest pause between two events.
     longest_pause: Duration,
 }
 
@@ -86,7 +87,7 @@
     run: OpenRun,
     runs: RunRecord,
     events: Sender<StreamPart>,
-    flight: InFlightGuard,
+    guard: InFlightGuard,
 ) {
     let mut record = RelayRecord { last: context.head.last_event, ..RelayRecord::default() };
     let server = run.server.id.clone();
@@ -101,7 +102,7 @@
     }
     drop(events);
     log_stream(&context, &server, end, &record);
-    drop(flight);
+    drop(guard);
 }
 
 async fn relay_runs(
@@ -140,14 +141,14 @@
     }
 }
 
-/// Logs during which request a server broke off a run that had begun, or fell silent.
+/// Logs that a server broke off a run that had begun, or fell silent, and the request that it was running.
 fn log_lost(context: &CallContext, server: &str, record: &RelayRecord) {
     let (id, contents, events) = (context.id(), context.contents, record.events);
     log::info!("event=run_lost request={id} contents={contents} server={server} events={events}");
 }
 
-/// Opens a further run; while that is refused for lack of a server that can take it, it is retried as long as the
-/// caller may wait.
+/// Opens a further run. A refusal is retried until [`RESUME_TIMEOUT`] or the deadline has passed, unless the request is
+/// held back.
 async fn resume_run(
     context: &CallContext,
     engine: &EngineSpec,
--- a/src/gateway/gateway_host.rs
+++ b/src/gateway/gateway_host.rs
@@ -78,7 +78,7 @@
     /// Wakes requests that wait for a newer age of the configuration.
     pub(super) config_age_updated: Notify,
     pub(super) limit_replies: PendingReplies<LimitReply>,
-    pub(super) send_replies: PendingReplies<PermitReply>,
+    pub(super) permit_replies: PendingReplies<PermitReply>,
     pub(super) retry_replies: PendingReplies<RetryReply>,
     pub(super) gossip_round: AtomicU64,
     pub(super) view_fetches: Mutex<ViewFetches>,
@@ -143,7 +143,7 @@
             request_hasher: RequestHasher::new(&settings.shared_key),
             config_age_updated: Notify::new(),
             limit_replies: PendingReplies::default(),
-            send_replies: PendingReplies::default(),
+            permit_replies: PendingReplies::default(),
             retry_replies: PendingReplies::default(),
             gossip_round: AtomicU64::new(1),
             view_fetches: Mutex::default(),
@@ -193,13 +193,13 @@
     /// Waits until the host reads no more requests.
     pub(super) async fn wait_for_closing(&self) {
         let mut phases = self.stop_sender.subscribe();
-        // The sender lives as long as this host, so that the wait ends only when the phase is reached.
+        // The sender exists as long as this host, so that the wait ends only when the phase is reached.
         drop(phases.wait_for(|phase| *phase >= StopPhase::Closing).await);
     }
 
     /// Applies changed settings, as far as that is possible without a restart.
     pub fn reload(&self, newer: &GatewaySettings) {
-        let fixed = self.settings.changes_needing_restart(newer).join(",");
+        let needing_restart = self.settings.changes_needing_restart(newer).join(",");
         let own = self.peers_address;
         let seeds = newer.seeds.iter().copied().filter(|seed| *seed != own).collect();
         {
@@ -208,8 +208,8 @@
             state.members.set_seeds(seeds);
         }
         log::set_max_level(newer.log_level);
-        let outcome = if fixed.is_empty() { "in_force" } else { "restart_needed" };
-        log::info!("event=settings_reloaded outcome={outcome} unchanged=\"{fixed}\"");
+        let outcome = if needing_restart.is_empty() { "in_force" } else { "restart_needed" };
+        log::info!("event=settings_reloaded outcome={outcome} unchanged=\"{needing_restart}\"");
     }
 
     /// Whether the platform may route callers to this host. A host that cannot tell which keys are still
@@ -278,5 +278,5 @@
     }
 }
 
-/// Number of hosts assumed before other hosts are known.
+/// Minimum number of hosts assumed, because a host that has just started does not know the others yet.
 const MIN_HOSTS: usize = 10;
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -54,7 +54,7 @@
     pub retry_pools: RetryPools,
     /// Average work of a request of each service.
     pub work_meters: HashMap<ServiceKey, WorkMeter>,
-    /// The same from other hosts, with the time of receipt.
+    /// Average work that other hosts reported, with the time of receipt.
     pub peer_work: HashMap<(IncarnationId, ServiceKey), (TimePoint, WorkSums)>,
     /// Engines that are changing their stage.
     pub stage_changes: StageChanges,
@@ -126,7 +126,7 @@
 
     /// Whether the configuration is too old to validate caller keys.
     pub fn is_config_too_old(&self, now: TimePoint) -> bool {
-        self.max_config_age().is_some_and(|longest| self.config_age.age(now) > longest)
+        self.max_config_age().is_some_and(|max_age| self.config_age.age(now) > max_age)
     }
 
     /// Recent work of a service's requests, summed over all hosts.
--- a/src/gateway/in_flight_guard.rs
+++ b/src/gateway/in_flight_guard.rs
@@ -2,12 +2,12 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Counts requests in flight, so that a graceful shutdown can wait for them.
+/// Counts one request as in flight until dropped; a graceful shutdown waits for all of them.
 #[derive(Debug)]
 pub(super) struct InFlightGuard(Arc<GatewayHost>);
 
 impl InFlightGuard {
-    pub fn new(host: &Arc<GatewayHost>) -> Self {
+    pub fn begin(host: &Arc<GatewayHost>) -> Self {
         host.in_flight.fetch_add(1, Ordering::Relaxed);
         Self(Arc::clone(host))
     }
--- a/src/gateway/limit_answers.rs
+++ b/src/gateway/limit_answers.rs
@@ -11,13 +11,13 @@
 impl GatewayHost {
     /// Applies the limit in a server's answer to a request sent at `sent_at`. The answer is known to belong to that
     /// request.
-    pub(super) fn apply_named_limit(
+    pub(super) fn apply_stated_limit(
         &self,
         server: &ServerEntry,
         sent_at: TimePoint,
-        naming: &LimitHeader,
+        header: &LimitHeader,
     ) {
-        let limit = match naming {
+        let limit = match header {
             LimitHeader::Absent => None,
             LimitHeader::Valid(limit) => Some(*limit),
             LimitHeader::Malformed(text) => {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Handles the report of a limited server's answer to this host, or to another one that takes this one for the
+    /// Handles the report of how a limited server answered this host, or another host that considers this one the
     /// server's owner.
     pub(super) fn receive_limit_observation(&self, observation: &LimitObservation) {
         let now = self.now();
--- a/src/gateway/limit_charge.rs
+++ b/src/gateway/limit_charge.rs
@@ -18,7 +18,7 @@
 /// all hosts. Without this, hosts that decided alone granted an organisation at its limit 0.7 s of its rate.
 const YOUNG_AGE: Duration = Duration::from_millis(1200);
 const YOUNG_RETRY_PAUSE: Duration = Duration::from_millis(40);
-/// How often use that no request reported is reported to owners, and accounts that are not this host's are discarded.
+/// How often use that no request has reported is reported to owners, and accounts owned by others are discarded.
 const REPORT_PERIOD: Duration = Duration::from_millis(250);
 
 /// What a request costs its organisation.
@@ -139,8 +139,8 @@
             let is_owner = state.owner(now, request.org, self.domain()) == OwnerChoice::Own;
             let mut share = state.domain_share(request.org, self.domain())?;
             if !is_owner {
-                // The requesting host, perhaps alone, takes this one for the owner, which this one does not: it may
-                // continue from what the last owner had left, but starts with nothing of its own.
+                // The requesting host considers this one the owner, but this one does not. It may continue from the
+                // balance that the last owner left, but adds no initial balance of its own.
                 share.initial = 0.0;
             }
             let is_new = !state.limit_ledger.has_account(request.org);
@@ -217,7 +217,7 @@
         state.limit_ledger.accept_loan(now, loan, &share);
     }
 
-    /// Discards what this host granted of limits and of retries of which it was not the owner all the time.
+    /// Discards the accounts of limits and retry pools that this host has not owned without a break.
     fn discard_unowned_accounts(&self) {
         let (now, domain) = (self.now(), self.domain());
         let mut state = self.state();
@@ -300,8 +300,8 @@
             && crate::limits::has_owned(key, own, others, since)
     }
 
-    /// What this host may grant as an owner: of its failure domain's share, the fraction that the hosts it sees there
-    /// are of all that it ever saw there. The others may be partitioned from it, and grant the rest.
+    /// What this host may grant as an owner: its failure domain's share, scaled by the fraction of the domain's known
+    /// hosts that it sees. The others may be partitioned from it, and grant the rest.
     fn domain_share(&self, org: OrgKey, domain: NameKey) -> Option<LimitShare> {
         let (seen, known) = self.count_domain_hosts(domain);
         Some(self.whole_share(org)?.scaled(seen, known))
--- a/src/gateway/limit_gossip.rs
+++ b/src/gateway/limit_gossip.rs
@@ -10,11 +10,11 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How often a host sends limits that are new to it: calculated, all of 300 hosts receive them within half a second.
+/// How often a host sends limits that are new to it: they reach all of 300 hosts within half a second.
 const GOSSIP_PERIOD: Duration = Duration::from_millis(100);
-/// Number of hosts of the own failure domain that each message is sent to.
-const NEAR_TARGETS: usize = 4;
-/// Number of hosts of other failure domains that each message is sent to; traffic to them is billed by the byte.
+/// Hosts of the same failure domain in each round.
+const LOCAL_TARGETS: usize = 4;
+/// Hosts of other failure domains in each round; traffic between domains is charged by the byte.
 const REMOTE_TARGETS: usize = 2;
 /// Reports to owners are sent every this many periods, while this host sent something recently.
 const REPORT_PERIODS: u64 = 2;
@@ -41,9 +41,9 @@
         if updates.is_empty() {
             return;
         }
-        let serial = self.gossip_round.fetch_add(1, Ordering::Relaxed);
+        let round = self.gossip_round.fetch_add(1, Ordering::Relaxed);
         let datagram = GatewayDatagram::ServerLimits(updates);
-        for target in self.gossip_targets(serial, NEAR_TARGETS, REMOTE_TARGETS) {
+        for target in self.gossip_targets(round, LOCAL_TARGETS, REMOTE_TARGETS) {
             self.send(target, &datagram);
         }
     }
--- a/src/gateway/peer_loop.rs
+++ b/src/gateway/peer_loop.rs
@@ -61,7 +61,7 @@
                 host.receive_permit_request(address, from, &request)
             }
             Ok(GatewayDatagram::PermitReply(reply)) => {
-                host.send_replies.complete(reply.sequence, reply)
+                host.permit_replies.complete(reply.sequence, reply)
             }
             Ok(GatewayDatagram::LimitObservation(observation)) => {
                 host.receive_limit_observation(&observation)
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -16,7 +16,7 @@
 const FRESH_CONNECTION_AGE: Duration = Duration::from_millis(1500);
 /// A retryable request is sent to another server after this many objectives without an answer.
 const SILENCE_OBJECTIVES: u32 = 2;
-/// Servers tried that could not be connected to, so that nothing of the request reached them.
+/// Most servers that one request tries and cannot connect to; nothing of the request reaches them.
 const MAX_UNREACHED: u32 = 3;
 /// How long the owners of servers at their limit are asked one after the other. Each replies within a millisecond
 /// or two, and one that is silent costs 65 ms.
@@ -47,7 +47,7 @@
     failure: Option<ServerAnswer>,
 }
 
-/// Runs a request on a service whose servers answer in one piece.
+/// Runs a request on a service whose servers answer without a stream.
 pub(super) async fn serve_plain(context: &CallContext) -> CallEnd {
     let mut record = AttemptRecord::default();
     while let Some((server, permit)) = next_server(context, &record).await {
@@ -89,10 +89,10 @@
     if exhausted || context.time_left().is_zero() || context.is_held_back(record.sent).await {
         return None;
     }
-    let (kind, local_domain) = (RankingCriterion::Requests, context.host.domain());
+    let (criterion, local_domain) = (RankingCriterion::Requests, context.host.domain());
     let criteria = ServerCriteria {
         stage: None,
-        kind,
+        criterion,
         local_domain,
         remote_penalty: REMOTE_DOMAIN_PENALTY,
         rank: context.rank,
@@ -181,9 +181,10 @@
     permit: &mut SendPermit,
 ) -> Result<AttemptEnd> {
     let max_idle = if context.route.is_retryable() { Duration::MAX } else { FRESH_CONNECTION_AGE };
-    let (purpose, left) = (CallPurpose::Plain, context.time_left());
+    let (purpose, time_left) = (CallPurpose::Plain, context.time_left());
     let part = CallPart::Whole;
-    let response = send_request(context, server, purpose, left, part, max_idle, permit).await?;
+    let response =
+        send_request(context, server, purpose, time_left, part, max_idle, permit).await?;
     let kind = read_answer(&response);
     let (parts, body) = response.into_parts();
     if kind == AnswerKind::Improper {
--- a/src/gateway/prompt_read.rs
+++ b/src/gateway/prompt_read.rs
@@ -18,7 +18,7 @@
 const READ_TIMEOUT: Duration = Duration::from_millis(1200);
 /// Queued prompt tokens from which a prefill server counts as full: reading them takes about half an objective.
 const FULL_QUEUE_TOKENS: u32 = 12_000;
-/// Prefill servers tried for one request.
+/// Most prefill servers tried for one request.
 const MAX_READS: usize = 2;
 /// A decode server still reads a prompt in time while no more than this fraction of the objective has passed.
 const OWN_READ_FRACTION: f64 = 0.6;
@@ -40,10 +40,10 @@
         // A request on trial is sent to its decode server only, since one server suffices for the trial.
         return PromptEnd::LeftToDecode;
     }
-    let (kind, rank) = (RankingCriterion::PromptQueue(FULL_QUEUE_TOKENS), context.rank);
+    let (criterion, rank) = (RankingCriterion::PromptQueue(FULL_QUEUE_TOKENS), context.rank);
     let criteria = ServerCriteria {
         stage: Some(ServerStage::Prefill),
-        kind,
+        criterion,
         local_domain: decode_domain,
         remote_penalty: REMOTE_DOMAIN_PENALTY,
         rank,
--- a/src/gateway/retry_grants.rs
+++ b/src/gateway/retry_grants.rs
@@ -67,7 +67,7 @@
         let share = RetryShare::for_domain(&bounds, seen, known);
         let is_settled = state.members.is_settled(now, bounds.window)
             && state.retry_pools.term().lasts_for(now, bounds.window);
-        // A host that only the requesting host takes for the owner would grant in addition to the real owner.
+        // A host that only the requesting host considers the owner would grant in addition to the real owner.
         let is_owner = state.pool_owner(now, request.service) == OwnerChoice::Own;
         let granted = is_owner && state.retry_pools.receive(now, request, &share, is_settled);
         RetryReply { sequence: request.sequence, granted }
--- a/src/gateway/run_open.rs
+++ b/src/gateway/run_open.rs
@@ -143,7 +143,7 @@
     if context.time_left().is_zero() {
         return Err(OpenFailure::NotRun(NotRunReason::OutOfTime));
     }
-    // Crashes under other attempts at this request may have become known while its prompt was read.
+    // Crashes during other attempts at this request may have become known while its prompt was read.
     if context.is_known_held_back(runs.sent) {
         return Err(OpenFailure::NotRun(NotRunReason::HeldBack));
     }
@@ -183,8 +183,8 @@
     OpenFailure::NotRun(NotRunReason::ServersAtLimit)
 }
 
-/// Discards a resource that is gone because its server has restarted; returns whether it is. The resource is neither
-/// used nor released: its name may belong to another request by now.
+/// Discards a resource if its server has restarted and so lost it; returns whether it has. The resource is neither used
+/// nor released: its name may belong to another request by now.
 fn discard_if_lost(context: &CallContext, resource: &mut EngineResource) -> bool {
     let lost = context.host.has_restarted(&resource.server);
     if lost {
--- a/src/gateway/run_start.rs
+++ b/src/gateway/run_start.rs
@@ -122,8 +122,9 @@
     part: DecodePart<'_>,
     permit: &mut SendPermit,
 ) -> Result<RunStart, OpenFailure> {
-    let (purpose, left, part) = (CallPurpose::Run, context.time_left(), CallPart::Decode(part));
-    let sent = send_request(context, server, purpose, left, part, Duration::MAX, permit).await;
+    let (purpose, time_left, part) =
+        (CallPurpose::Run, context.time_left(), CallPart::Decode(part));
+    let sent = send_request(context, server, purpose, time_left, part, Duration::MAX, permit).await;
     let response = match sent {
         Ok(response) => response,
         Err(Error::NotSent(_)) => return Err(OpenFailure::Rejected(server.clone())),
--- a/src/gateway/send_owner.rs
+++ b/src/gateway/send_owner.rs
@@ -1,4 +1,4 @@
-//! Requests grants from the owners of limited servers before requests are sent there, and grants them as an owner.
+//! Requests permits from the owners of limited servers before requests are sent there, and grants them as an owner.
 
 use super::gateway_host::GatewayHost;
 use super::gateway_state::GatewayState;
@@ -10,12 +10,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A grant that arrives later than this is not used: the host was suspended meanwhile, and the window in which the
-/// owner counts the request has moved on.
+/// A granted permit that arrives later than this is not used: the host was suspended meanwhile, and the window in which
+/// the owner counts the request has moved on.
 const GRANT_LIFETIME: Duration = Duration::from_millis(250);
 
 impl GatewayHost {
-    /// Requests a grant to send a request of `rank` to a limited server. Returns the time at which the request counts
+    /// Requests a permit to send a request of `rank` to a limited server. Returns the time at which the request counts
     /// as sent, if it may be sent.
     pub(super) async fn request_permit(
         &self,
@@ -82,7 +82,7 @@
             OwnerChoice::Own => Some(self.decide_permit(self.incarnation, request)),
             OwnerChoice::Other(owner) => {
                 let datagram = GatewayDatagram::PermitRequest(self.incarnation, request.clone());
-                self.request_reply(&self.send_replies, request.sequence, owner, &datagram).await
+                self.request_reply(&self.permit_replies, request.sequence, owner, &datagram).await
             }
             OwnerChoice::Unknown => None,
         }
--- a/src/gateway/send_permit.rs
+++ b/src/gateway/send_permit.rs
@@ -12,12 +12,12 @@
 /// A permit that is older than this when its request is sent must be granted again: owners count for four seconds,
 /// and reading a prompt takes about one.
 const PERMIT_LIFETIME: Duration = Duration::from_secs(2);
-/// Retry delay for a caller if the owner of the server names none.
+/// Retry delay for a caller if the owner of the server states none.
 const DEFAULT_PAUSE: Duration = Duration::from_millis(500);
-/// The shortest retry delay that is worth naming.
+/// The shortest retry delay that is stated to a caller.
 const MIN_PAUSE: Duration = Duration::from_millis(20);
 
-/// Counts one request as sent to a server; the count is taken back if the permit is dropped before the request is sent.
+/// Counts one request as sent to a server; the count is undone if the permit is dropped before the request is sent.
 #[derive(Debug)]
 pub(super) struct SendPermit {
     host: Arc<GatewayHost>,
--- a/src/gateway/server_call.rs
+++ b/src/gateway/server_call.rs
@@ -60,12 +60,12 @@
     context: &CallContext,
     server: &ServerEntry,
     purpose: CallPurpose,
-    left: Duration,
+    time_left: Duration,
     part: CallPart<'_>,
     max_idle: Duration,
     permit: &mut SendPermit,
 ) -> Result<Response<PooledBody>> {
-    let request = context.call.to_server(server, left, part);
+    let request = context.call.to_server(server, time_left, part);
     let limits = SendLimits { connect_timeout: CONNECT_TIMEOUT, max_idle };
     let (host, sent_at) = (&context.host, context.host.now());
     context.record_sent(sent_at);
@@ -77,7 +77,7 @@
                 permit.mark_unused();
             }
         })?;
-    host.apply_named_limit(server, sent_at, &read_limit(response.headers()));
+    host.apply_stated_limit(server, sent_at, &read_limit(response.headers()));
     Ok(response)
 }
 
--- a/src/gateway/server_ranking.rs
+++ b/src/gateway/server_ranking.rs
@@ -15,7 +15,7 @@
     /// The required stage, if the service consists of model engines.
     pub stage: Option<ServerStage>,
     /// The measure by which servers are compared.
-    pub kind: RankingCriterion,
+    pub criterion: RankingCriterion,
     /// The preferred failure domain.
     pub local_domain: NameKey,
     /// Penalty for servers in other failure domains, as a fraction of the load of a full server.
@@ -36,7 +36,7 @@
         let warm = self.pool.warm_addresses();
         let mut state = self.state();
         state.server_loads.expire(now);
-        let view = RankingContext {
+        let context = RankingContext {
             loads: &state.server_loads,
             health: &state.server_health,
             domains: &state.domain_breakers,
@@ -51,7 +51,7 @@
             .ready(service)
             .filter(|server| criteria.stage.is_none_or(|stage| server.stage == Some(stage)))
             .filter(|server| state.send_control.is_open(now, server.key(), criteria.rank));
-        rank_servers(now, &view, criteria.kind, candidates).into_iter().cloned().collect()
+        rank_servers(now, &context, criteria.criterion, candidates).into_iter().cloned().collect()
     }
 
     /// How long a prompt waits at a prefill server until the prompts queued before it are processed; zero
--- a/src/gateway/store_contact.rs
+++ b/src/gateway/store_contact.rs
@@ -25,7 +25,7 @@
 
 /// Records that the store refused or did not answer this host; the other hosts then elect another watcher.
 pub(super) fn record_store_failure(host: &GatewayHost, kind: FollowedKind, error: &crate::Error) {
-    if !host.is_unreachable(kind).swap(true, Ordering::Relaxed) {
+    if !host.unreachable_flag(kind).swap(true, Ordering::Relaxed) {
         log::warn!("event=store_lost kind={} cause=\"{error}\"", kind.name());
     }
     host.record_store_refused(true);
@@ -33,7 +33,7 @@
 
 /// Records that the store answered this host.
 pub(super) fn record_store_answer(host: &GatewayHost, kind: FollowedKind) {
-    if host.is_unreachable(kind).swap(false, Ordering::Relaxed) {
+    if host.unreachable_flag(kind).swap(false, Ordering::Relaxed) {
         log::info!("event=store_regained kind={}", kind.name());
     }
     let now = host.now();
@@ -43,7 +43,7 @@
         state.store_answered_at = now;
     }
     let unreachable =
-        FollowedKind::ALL.map(|kind| host.is_unreachable(kind).load(Ordering::Relaxed));
+        FollowedKind::ALL.map(|kind| host.unreachable_flag(kind).load(Ordering::Relaxed));
     if unreachable == [false, false] {
         host.record_store_refused(false);
     }
@@ -69,7 +69,7 @@
         (revision > 0).then_some(revision)
     }
 
-    fn is_unreachable(&self, kind: FollowedKind) -> &AtomicBool {
+    fn unreachable_flag(&self, kind: FollowedKind) -> &AtomicBool {
         match kind {
             FollowedKind::Routes => &self.routes_unreachable,
             FollowedKind::Servers => &self.servers_unreachable,
--- a/src/gateway/view_lag.rs
+++ b/src/gateway/view_lag.rs
@@ -110,12 +110,12 @@
 #[derive(Debug)]
 pub(super) struct LagLog {
     kind: FollowedKind,
-    longest: Option<Duration>,
+    last_lag: Option<Duration>,
 }
 
 impl LagLog {
     pub const fn new(kind: FollowedKind) -> Self {
-        Self { kind, longest: None }
+        Self { kind, last_lag: None }
     }
 
     /// Checks the current lag of the host, and logs a change.
@@ -123,7 +123,7 @@
         let kind = self.kind.name();
         match host.behind_for(now, self.kind).filter(|behind| *behind >= MIN_LOGGED_LAG) {
             Some(behind) => {
-                if self.longest.is_none() {
+                if self.last_lag.is_none() {
                     let store_age_ms = host.state().fleet.store_age(now).as_millis();
                     let own = host.known_revision(self.kind).unwrap_or_default();
                     log::warn!(
@@ -131,10 +131,10 @@
                         behind.as_millis()
                     );
                 }
-                self.longest = Some(behind);
+                self.last_lag = Some(behind);
             }
             None => {
-                if let Some(behind) = self.longest.take() {
+                if let Some(behind) = self.last_lag.take() {
                     log::warn!("event=view_caught_up kind={kind} behind_ms={}", behind.as_millis());
                 }
             }
--- a/src/gateway/view_store.rs
+++ b/src/gateway/view_store.rs
@@ -82,8 +82,8 @@
 async fn list_stale(host: &Arc<GatewayHost>) -> Result<Option<u64>> {
     let kind = SERVERS_KIND;
     let listed = host.store.list(kind, ListAge::Stale, LIST_TIMEOUT).await?;
-    let plan = WatchLimits { wait: NO_WAIT, slack: LIST_TIMEOUT, max_bytes: usize::MAX };
-    let since = host.store.watch(kind, listed.revision, plan).await?;
+    let limits = WatchLimits { wait: NO_WAIT, slack: LIST_TIMEOUT, max_bytes: usize::MAX };
+    let since = host.store.watch(kind, listed.revision, limits).await?;
     let WatchAnswer::Changes(changes, revision) = since else {
         return Ok(None);
     };
@@ -172,9 +172,9 @@
         FollowedKind::Routes => MAX_OBJECT_BYTES,
         FollowedKind::Servers => usize::MAX,
     };
-    let plan = WatchLimits { wait, slack: WATCH_SLACK, max_bytes };
+    let limits = WatchLimits { wait, slack: WATCH_SLACK, max_bytes };
     let asked_at = host.now();
-    let answer = host.store.watch(kind.name(), after, plan).await?;
+    let answer = host.store.watch(kind.name(), after, limits).await?;
     record_store_answer(host, kind);
     let (changes, revision) = match answer {
         WatchAnswer::Changes(changes, revision) => (changes, revision),
--- a/src/host/completion_request.rs
+++ b/src/host/completion_request.rs
@@ -50,7 +50,7 @@
     Unknown {
         /// Reason code for the caller.
         reason: String,
-        /// Delay before a retry is worthwhile.
+        /// Delay before the caller should retry.
         retry_after: Duration,
     },
 }
--- a/src/host/config_loop.rs
+++ b/src/host/config_loop.rs
@@ -158,9 +158,9 @@
 
     async fn fetch_from(self: &Arc<Self>, address: SocketAddr) {
         let request = PeerRequest::Config(self.config().version);
-        let on_piece = || lock(&self.config_fetches).record_progress(self.now(), address);
+        let on_progress = || lock(&self.config_fetches).record_progress(self.now(), address);
         if let Ok(PeerReply::Config(Some(config))) =
-            self.peers.fetch(address, &request, FETCH_TIMEOUTS, on_piece).await
+            self.peers.fetch(address, &request, FETCH_TIMEOUTS, on_progress).await
         {
             self.adopt_config(config);
         }
--- a/src/host/config_store.rs
+++ b/src/host/config_store.rs
@@ -49,9 +49,9 @@
     /// If the store gave no valid answer.
     pub(super) async fn watch_config(self: &Arc<Self>, after: u64, wait: Duration) -> Result<u64> {
         let (kind, name) = INTENT_OBJECT;
-        let plan = WatchLimits { wait, slack: WATCH_SLACK, max_bytes: MAX_OBJECT_BYTES };
+        let limits = WatchLimits { wait, slack: WATCH_SLACK, max_bytes: MAX_OBJECT_BYTES };
         self.metrics().add("store_calls", 1);
-        let answer = self.store.watch(kind, after, plan).await?;
+        let answer = self.store.watch(kind, after, limits).await?;
         let WatchAnswer::Changes(changes, revision) = answer else {
             return self.list_config().await.map(|(_config, revision)| revision);
         };
--- a/src/host/daemon.rs
+++ b/src/host/daemon.rs
@@ -17,8 +17,8 @@
 
 const DRAIN_POLL_PERIOD: Duration = Duration::from_millis(50);
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time after the last stream for gossip to spread the update that this host is leaving.
-const LEAVE_SPREAD_TIME: Duration = Duration::from_millis(300);
+/// Time after the last stream for gossip to spread the update that this host is draining.
+const DRAIN_SPREAD_TIME: Duration = Duration::from_millis(300);
 
 /// A running daemon.
 #[derive(Debug)]
@@ -95,7 +95,7 @@
             }
             tokio::time::sleep(DRAIN_POLL_PERIOD).await;
         }
-        tokio::time::sleep(LEAVE_SPREAD_TIME).await;
+        tokio::time::sleep(DRAIN_SPREAD_TIME).await;
         log::info!("event=drain_ended");
         true
     }
--- a/src/host/plan_handler.rs
+++ b/src/host/plan_handler.rs
@@ -33,7 +33,7 @@
     Findings(Vec<String>),
     /// The plan is stale; what has changed since, and by whom.
     Stale(Vec<String>),
-    /// It is unknown whether the store took the write; check the status before trying again.
+    /// It is unknown whether the store applied the write; check the status before trying again.
     Unsettled(String),
 }
 
--- a/src/settings/gateway_settings.rs
+++ b/src/settings/gateway_settings.rs
@@ -14,8 +14,8 @@
     pub grace_period: Duration,
     /// Bounds on retries, over all hosts.
     pub retries: RetryBounds,
-    /// Lease of the host that gives stage orders: until this long after its last order, no other host
-    /// may give one.
+    /// Length of the lease of the host that gives stage orders: for this long after its last order, no
+    /// other host may give one.
     pub lease: Duration,
     /// How long a caller's key may still be accepted after its revocation; `None` for no bound.
     pub max_revocation_delay: Option<Duration>,
