--- a/src/gateway/age_loop.rs
+++ b/src/gateway/age_loop.rs
@@ -37,7 +37,7 @@
 }
 
 impl GatewayHost {
-    /// Requests the age from the watcher of this host's failure domain, and also from two other hosts if
+    /// Requests the age from the watcher of this host's failure domain, and from up to two other hosts if
     /// the last request has no reply or the known age is too high.
     pub(super) fn request_config_age(&self) {
         let now = self.now();
