--- a/src/callers/caller_error.rs
+++ b/src/callers/caller_error.rs
@@ -49,7 +49,7 @@
             status: StatusCode::INTERNAL_SERVER_ERROR,
             outcome: ErrorOutcome::Unknown,
             reason: "internal".to_owned(),
-            message: "the router failed while handling the request, which may have run".to_owned(),
+            message: "the request broke inside the router; it may have run".to_owned(),
             retry_after: None,
         }
     }
--- a/src/callers/caller_server.rs
+++ b/src/callers/caller_server.rs
@@ -91,7 +91,7 @@
         status: StatusCode::SERVICE_UNAVAILABLE,
         outcome: ErrorOutcome::NotRun,
         reason: reason.to_owned(),
-        message: "this host does not accept requests now; another host may".to_owned(),
+        message: "this host takes no requests now; another one may".to_owned(),
         retry_after: Some(RETRY_AFTER),
     })
 }
@@ -112,9 +112,7 @@
             Err(CallerError::invalid("body_too_large", message)
                 .with_status(StatusCode::PAYLOAD_TOO_LARGE))
         }
-        Err(error) => {
-            Err(CallerError::invalid("broken_body", format!("the body could not be read: {error}")))
-        }
+        Err(error) => Err(CallerError::invalid("broken_body", format!("the body broke: {error}"))),
     }
 }
 
--- a/src/callers/service_route.rs
+++ b/src/callers/service_route.rs
@@ -63,7 +63,7 @@
         status: StatusCode::SERVICE_UNAVAILABLE,
         outcome: ErrorOutcome::NotRun,
         reason: "too_many_tickets".to_owned(),
-        message: "too many tickets are outstanding".to_owned(),
+        message: "too many tickets are out".to_owned(),
         retry_after: Some(RETRY_AFTER),
     })?;
     let body = json!({"ticket": ticket.to_string()}).to_string();
@@ -81,14 +81,14 @@
             StatusCode::CONFLICT,
             ErrorOutcome::Unknown,
             "in_progress",
-            "the first attempt of this request is still running",
+            "the first attempt of this request still runs",
             Some(RETRY_AFTER),
         ),
         OnceOutcome::AlreadyAnswered => (
             StatusCode::CONFLICT,
             ErrorOutcome::Whole,
             "already_answered",
-            "the request ran, and its answer was delivered to another connection",
+            "the request ran, and its answer went to another connection",
             None,
         ),
         OnceOutcome::OtherBody => (
--- a/src/intents/planner.rs
+++ b/src/intents/planner.rs
@@ -258,7 +258,7 @@
     }
     for server in next.servers.iter().filter(|server| !server.checks_fence && !server.leaving) {
         warnings.push(format!(
-            "server {} does not check fences: only the owner of its ledger sends it orders, and only within 5 s of its last contact with the store",
+            "server {} does not check fences: only its book's owner orders it, and only within 5 s of hearing the store",
             server.name
         ));
     }
--- a/src/operators/operator_server.rs
+++ b/src/operators/operator_server.rs
@@ -82,9 +82,7 @@
 }
 
 fn read_text(request: &Request) -> Result<String> {
-    let body = request
-        .data()
-        .ok_or_else(|| Error::Refused("the request body has already been read".to_owned()))?;
+    let body = request.data().ok_or_else(|| Error::Refused("the body is gone".to_owned()))?;
     let mut text = String::new();
     body.take(MAX_BODY_BYTES).read_to_string(&mut text)?;
     Ok(text)
